--- a/examples/embed.rs
+++ b/examples/embed.rs
@@ -6,8 +6,8 @@
 
 use std::time::Duration;
 
-use peathatch::interface::*;
-use peathatch::{Action, Balancer, Event, Settings};
+use stilelead_decision::interface::*;
+use stilelead_decision::{Action, Balancer, Event, Settings};
 
 fn main() -> Result<(), SettingsError> {
     let read = Class {
--- a/dahliahead/src/clock.rs
+++ b/proxy/src/clock.rs
@@ -2,7 +2,7 @@
 
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-use peathatch::interface::Time;
+use stilelead_decision::interface::Time;
 use tokio::time::Instant;
 
 /// How far the module's clock runs ahead of the program's start: upstreams that started before it have a
--- a/dahliahead/src/config.rs
+++ b/proxy/src/config.rs
@@ -6,10 +6,10 @@
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-use peathatch::interface::SettingsError;
-use peathatch_wirehost::setup::{self, Loaded, SetupError};
 use serde::Deserialize;
 use serde_json::value::RawValue;
+use stilelead_decision::interface::SettingsError;
+use stilelead_simulator::setup::{self, Loaded, SetupError};
 use thiserror::Error;
 
 use crate::discovery::Update;
--- a/dahliahead/src/directory.rs
+++ b/proxy/src/directory.rs
@@ -2,9 +2,9 @@
 
 use std::net::SocketAddr;
 
-use peathatch::interface::{KindId, ListUpdate, Member, Phase, UpstreamId, ZoneId};
-use peathatch_wirehost::setup::Names;
 use rustc_hash::{FxHashMap, FxHashSet};
+use stilelead_decision::interface::{KindId, ListUpdate, Member, Phase, UpstreamId, ZoneId};
+use stilelead_simulator::setup::Names;
 
 use crate::clock::Clock;
 use crate::discovery::{Endpoint, Update};
--- a/dahliahead/src/driver.rs
+++ b/proxy/src/driver.rs
@@ -9,13 +9,13 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use peathatch::interface::{
+use rustc_hash::{FxHashMap, FxHashSet};
+use stilelead_decision::interface::{
     AttemptEnded, AttemptNumber, ClassId, ListUpdate, Outcome, Request, RequestId, SettingsError, TenantId,
     UpstreamId,
 };
-use peathatch::report::{EndReason, Report};
-use peathatch::{Action, Balancer, Event};
-use rustc_hash::{FxHashMap, FxHashSet};
+use stilelead_decision::report::{EndReason, Report};
+use stilelead_decision::{Action, Balancer, Event};
 use tokio::sync::{Notify, oneshot};
 use tokio::task::spawn_local;
 use tokio::time::{Instant, sleep, timeout};
--- a/dahliahead/src/in_force.rs
+++ b/proxy/src/in_force.rs
@@ -3,10 +3,10 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use peathatch::Settings;
-use peathatch::interface::{Class, ClassId, DiscoveryMode, Tenant, ZoneId};
-use peathatch_wirehost::setup::Names;
 use rustc_hash::FxHashMap;
+use stilelead_decision::Settings;
+use stilelead_decision::interface::{Class, ClassId, DiscoveryMode, Tenant, ZoneId};
+use stilelead_simulator::setup::Names;
 
 use crate::config::Config;
 use crate::reload::{Changes, NameList, Part, ReloadError};
--- a/dahliahead/src/in_force/tests.rs
+++ b/proxy/src/in_force/tests.rs
@@ -62,7 +62,7 @@
     assert_eq!(places(&next.names.kinds), named(&[(0, "std"), (1, "big")]));
     let settings = next.settings();
     let effects: Vec<_> = settings.classes.iter().map(|class| class.effect).collect();
-    assert_eq!(effects, [peathatch::interface::Effect::Unsafe; 3]);
+    assert_eq!(effects, [stilelead_decision::interface::Effect::Unsafe; 3]);
     let quotas: Vec<_> = settings.tenants.iter().map(|tenant| tenant.quota).collect();
     assert_eq!(quotas, [Some(0.0), Some(8.0), Some(9.0)]);
     assert_eq!((settings.zone, settings.zones, settings.kinds), (ZoneId(2), 3, 2));
--- a/dahliahead/src/lib.rs
+++ b/proxy/src/lib.rs
@@ -1,5 +1,5 @@
-//! A load balancer on real sockets. All decisions are peathatch's; this crate turns what happens on
-//! the network into its events and carries out its actions.
+//! A load balancer on real sockets. All decisions are made by `stilelead-decision`; this crate turns
+//! what happens on the network into its events and carries out its actions.
 //!
 //! One thread, one runtime: [`driver::Driver`] owns the state behind a `RefCell` that is never
 //! borrowed across an await.
--- a/dahliahead/src/logging.rs
+++ b/proxy/src/logging.rs
@@ -35,7 +35,7 @@
         mut writer: Writer<'_>,
         event: &Event<'_>,
     ) -> fmt::Result {
-        write!(writer, "dahliahead: ")?;
+        write!(writer, "stilelead: ")?;
         context.field_format().format_fields(writer.by_ref(), event)?;
         writeln!(writer)
     }
--- a/dahliahead/src/main.rs
+++ b/proxy/src/main.rs
@@ -3,8 +3,8 @@
 
 use std::process::ExitCode;
 
-use dahliahead::config::{Config, ConfigError};
-use dahliahead::{logging, server};
+use stilelead::config::{Config, ConfigError};
+use stilelead::{logging, server};
 use tokio::runtime::Builder;
 use tokio::signal::unix::{Signal, SignalKind, signal};
 use tokio::sync::mpsc::{UnboundedSender, unbounded_channel};
@@ -12,13 +12,13 @@
 
 fn main() -> ExitCode {
     if let Err(error) = logging::start() {
-        eprintln!("dahliahead: {error}");
+        eprintln!("stilelead: {error}");
         return ExitCode::FAILURE;
     }
     let config = match Config::from_environment() {
         Ok(config) => config,
         Err(error) => {
-            eprintln!("dahliahead: {error}");
+            eprintln!("stilelead: {error}");
             return ExitCode::FAILURE;
         }
     };
@@ -42,7 +42,7 @@
     match served {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
-            eprintln!("dahliahead: {error}");
+            eprintln!("stilelead: {error}");
             ExitCode::FAILURE
         }
     }
--- a/dahliahead/src/metrics.rs
+++ b/proxy/src/metrics.rs
@@ -1,13 +1,13 @@
 //! Counters for the operator, in the OpenMetrics text format. Each is named here and nowhere else.
 
-use peathatch::interface::Outcome;
-use peathatch::report::{EndReason, TrustLevel};
 use prometheus_client::encoding::text::encode;
 use prometheus_client::encoding::{EncodeLabelSet, EncodeLabelValue};
 use prometheus_client::metrics::counter::Counter;
 use prometheus_client::metrics::family::Family;
 use prometheus_client::metrics::gauge::Gauge;
 use prometheus_client::registry::Registry;
+use stilelead_decision::interface::Outcome;
+use stilelead_decision::report::{EndReason, TrustLevel};
 
 /// The media type of [`Metrics::text`].
 pub const MEDIA_TYPE: &str = "application/openmetrics-text; version=1.0.0; charset=utf-8";
--- a/dahliahead/src/reload.rs
+++ b/proxy/src/reload.rs
@@ -5,7 +5,7 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-use peathatch::interface::SettingsError;
+use stilelead_decision::interface::SettingsError;
 use thiserror::Error;
 use tokio::sync::mpsc::UnboundedReceiver;
 
--- a/dahliahead/tests/common/mod.rs
+++ b/proxy/tests/common/mod.rs
@@ -12,10 +12,10 @@
 use std::thread::{self, JoinHandle};
 use std::time::{Duration, Instant};
 
-use dahliahead::config::{Config, ConfigError};
-use dahliahead::server;
 use serde_json::{Value, json};
 use socket2::{Domain, SockRef, Socket, Type};
+use stilelead::config::{Config, ConfigError};
+use stilelead::server;
 use tokio::sync::mpsc::{UnboundedSender, unbounded_channel};
 use tokio::sync::oneshot;
 
@@ -461,7 +461,7 @@
 
 pub fn configuration_file(configuration: &str) -> PathBuf {
     let mut file = std::env::temp_dir();
-    file.push(format!("dahliahead-{}-{:?}.json", std::process::id(), std::thread::current().id()));
+    file.push(format!("stilelead-{}-{:?}.json", std::process::id(), std::thread::current().id()));
     std::fs::write(&file, configuration).expect("written");
     file
 }
@@ -469,7 +469,7 @@
 pub fn command_within(descriptors: usize, file: &Path) -> Command {
     let mut command = Command::new("/bin/sh");
     command
-        .args(["-c", &format!("ulimit -n {descriptors}; exec \"$0\""), env!("CARGO_BIN_EXE_dahliahead")])
+        .args(["-c", &format!("ulimit -n {descriptors}; exec \"$0\""), env!("CARGO_BIN_EXE_stilelead")])
         .env_clear()
         .env("PROXY_CONFIG", file)
         .stderr(Stdio::piped());
--- a/dahliahead/tests/reload.rs
+++ b/proxy/tests/reload.rs
@@ -121,7 +121,7 @@
     lanes(&mut new).insert(0, lane("extra", "at_most_once"));
     new["settings"]["projects"] = json!([{"name": "zenith"}, {"name": "acme"}]);
     let line = program.reload(new.to_string().as_bytes());
-    assert_eq!(line, "dahliahead: configuration applied: 1 class added, 1 tenant added");
+    assert_eq!(line, "stilelead: configuration applied: 1 class added, 1 tenant added");
     let mut client = Client::connect(program.address);
     assert_eq!(client.ask("extra", "").status(), 200);
     client.send_for("zenith", "order", "");
@@ -130,7 +130,7 @@
     assert_eq!(held.answer().expect("an answer").status(), 200);
     assert_eq!(
         program.reload(new.to_string().as_bytes()),
-        "dahliahead: configuration applied: nothing has changed"
+        "stilelead: configuration applied: nothing has changed"
     );
     assert_eq!(client.ask("extra", "").status(), 200);
 }
@@ -185,7 +185,7 @@
     ];
     for (bytes, reason) in files {
         let line = program.reload(&bytes);
-        assert!(line.starts_with("dahliahead: goes on with the old configuration: "), "{line}");
+        assert!(line.starts_with("stilelead: goes on with the old configuration: "), "{line}");
         assert!(line.contains(reason), "{line}");
         let mut client = Client::connect(program.address);
         assert_eq!(client.ask("order", "").status(), 200);
@@ -202,7 +202,7 @@
     // Settings and discovery move together, and the request that was there before all this is answered.
     let line = program.reload(sound.as_bytes());
     let applied = format!("discovery at {}, 1 class added", new.address);
-    assert_eq!(line, format!("dahliahead: configuration applied: {applied}"));
+    assert_eq!(line, format!("stilelead: configuration applied: {applied}"));
     let (_, _new_watch) = new.watch();
     assert_eq!(Client::connect(program.address).ask("extra", "").status(), 400, "it is to be asked with GET");
     assert_eq!(Client::connect(program.address).ask("read", "").status(), 200);
--- a/scale/src/control/catalog.rs
+++ b/scale/src/control/catalog.rs
@@ -8,8 +8,8 @@
 use std::time::Instant;
 
 use bytes::Bytes;
-use dahliahead::discovery::{Endpoint, Update};
 use serde::Serialize;
+use stilelead::discovery::{Endpoint, Update};
 
 /// The status of an entry that has been removed; it appears among changes only.
 pub(super) const GONE: &str = "gone";
--- a/scale/src/control/mod.rs
+++ b/scale/src/control/mod.rs
@@ -14,7 +14,7 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::{Duration, Instant};
 
-use dahliahead::discovery::{Endpoint, Update};
+use stilelead::discovery::{Endpoint, Update};
 use thiserror::Error;
 
 use crate::port::Port;
--- a/scale/src/cover.rs
+++ b/scale/src/cover.rs
@@ -5,12 +5,12 @@
 
 use std::time::Duration;
 
-use peathatch::interface::{
+use serde::Serialize;
+use stilelead_decision::interface::{
     AttemptEnded, AttemptNumber, Class, ClassId, Effect, ListUpdate, Member, Outcome, Phase, Request,
     RequestId, Settings, SettingsError, UpstreamId, ZoneId,
 };
-use peathatch::{Action, Balancer, Event};
-use serde::Serialize;
+use stilelead_decision::{Action, Balancer, Event};
 
 /// Time between two calls of a copy.
 const BETWEEN_CALLS: Duration = Duration::from_millis(20);
--- a/scale/src/hollow/calls.rs
+++ b/scale/src/hollow/calls.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use peathatch::interface::{AttemptNumber, RequestId, UpstreamId};
+use stilelead_decision::interface::{AttemptNumber, RequestId, UpstreamId};
 
 use super::connections::Connection;
 use crate::node::model::Fate;
--- a/scale/src/hollow/connections.rs
+++ b/scale/src/hollow/connections.rs
@@ -2,8 +2,8 @@
 
 use std::time::Duration;
 
-use peathatch::interface::UpstreamId;
 use rustc_hash::FxHashMap;
+use stilelead_decision::interface::UpstreamId;
 
 /// A connection to a node.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
--- a/scale/src/hollow/copy.rs
+++ b/scale/src/hollow/copy.rs
@@ -3,15 +3,15 @@
 use std::cell::Cell;
 use std::rc::Rc;
 
-use dahliahead::clock::Clock;
-use dahliahead::config::Config;
-use dahliahead::directory::{Change, Directory, Origin};
-use dahliahead::discovery::Update;
-use dahliahead::in_force::InForce;
-use dahliahead::subscription::Subscription;
-use peathatch::Balancer;
-use peathatch::interface::{AttemptNumber, ClassId, RequestId, SettingsError, TenantId, UpstreamId};
 use rustc_hash::FxHashMap;
+use stilelead::clock::Clock;
+use stilelead::config::Config;
+use stilelead::directory::{Change, Directory, Origin};
+use stilelead::discovery::Update;
+use stilelead::in_force::InForce;
+use stilelead::subscription::Subscription;
+use stilelead_decision::Balancer;
+use stilelead_decision::interface::{AttemptNumber, ClassId, RequestId, SettingsError, TenantId, UpstreamId};
 
 use super::calls::{AttemptId, CallClass};
 use super::connections::IdleConnections;
--- a/scale/src/hollow/host.rs
+++ b/scale/src/hollow/host.rs
@@ -19,10 +19,10 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use dahliahead::clock::Clock;
-use peathatch::interface::{Outcome, RequestId};
-use peathatch::{Action, Event};
 use rustc_hash::FxHashMap;
+use stilelead::clock::Clock;
+use stilelead_decision::interface::{Outcome, RequestId};
+use stilelead_decision::{Action, Event};
 
 use super::HollowError;
 use super::arrivals::Arrivals;
--- a/scale/src/hollow/host/attempts.rs
+++ b/scale/src/hollow/host/attempts.rs
@@ -2,8 +2,10 @@
 
 use std::time::Duration;
 
-use peathatch::Event;
-use peathatch::interface::{AttemptEnded, AttemptNumber, LoadReport, Outcome, RequestId, UpstreamId};
+use stilelead_decision::Event;
+use stilelead_decision::interface::{
+    AttemptEnded, AttemptNumber, LoadReport, Outcome, RequestId, UpstreamId,
+};
 
 use super::{Host, SWEEPS};
 use crate::hollow::calls::{Answer, Attempt, AttemptId, CallClass, Run, RunId};
--- a/scale/src/hollow/host/faults.rs
+++ b/scale/src/hollow/host/faults.rs
@@ -1,6 +1,6 @@
 //! What happens to nodes, copies and regions.
 
-use peathatch::interface::{AttemptNumber, Outcome, RequestId};
+use stilelead_decision::interface::{AttemptNumber, Outcome, RequestId};
 
 use super::Host;
 use crate::hollow::calls::{AttemptId, Origin};
--- a/scale/src/hollow/host/lists.rs
+++ b/scale/src/hollow/host/lists.rs
@@ -4,11 +4,11 @@
 use std::rc::{Rc, Weak};
 use std::time::Instant;
 
-use dahliahead::directory::{Change, Origin};
-use dahliahead::discovery::{self, Update, WatchError, WatchEvents, WatchNumber};
-use dahliahead::permit::Permit;
-use peathatch::Event;
-use peathatch::interface::ListUpdate;
+use stilelead::directory::{Change, Origin};
+use stilelead::discovery::{self, Update, WatchError, WatchEvents, WatchNumber};
+use stilelead::permit::Permit;
+use stilelead_decision::Event;
+use stilelead_decision::interface::ListUpdate;
 use tokio::task::spawn_local;
 
 use super::Host;
--- a/scale/src/hollow/host/requests.rs
+++ b/scale/src/hollow/host/requests.rs
@@ -2,9 +2,9 @@
 
 use std::time::Duration;
 
-use dahliahead::server::{LAST_WORD, MARGIN};
-use peathatch::Event;
-use peathatch::interface::{Request, RequestId};
+use stilelead::server::{LAST_WORD, MARGIN};
+use stilelead_decision::Event;
+use stilelead_decision::interface::{Request, RequestId};
 
 use super::{Host, Step};
 use crate::hollow::calls::{Answer, HeldRequest, Origin, Work};
--- a/scale/src/hollow/host/runs.rs
+++ b/scale/src/hollow/host/runs.rs
@@ -1,6 +1,6 @@
 //! Requests on modelled nodes: their work, their calls to the next service and their answers.
 
-use peathatch::interface::{LoadReport, Outcome};
+use stilelead_decision::interface::{LoadReport, Outcome};
 
 use super::Host;
 use crate::hollow::calls::{Answer, Origin, RunId, Work};
--- a/scale/src/hollow/host/settings.rs
+++ b/scale/src/hollow/host/settings.rs
@@ -2,9 +2,9 @@
 
 use std::time::Instant;
 
-use dahliahead::config::Config;
-use dahliahead::reload::ReloadError;
-use peathatch::Event;
+use stilelead::config::Config;
+use stilelead::reload::ReloadError;
+use stilelead_decision::Event;
 
 use super::Host;
 use crate::hollow::HollowError;
--- a/scale/src/hollow/mod.rs
+++ b/scale/src/hollow/mod.rs
@@ -21,7 +21,7 @@
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant};
 
-use dahliahead::config::ConfigError;
+use stilelead::config::ConfigError;
 use thiserror::Error;
 use tokio::sync::mpsc::{UnboundedSender, unbounded_channel};
 
--- a/scale/src/hollow/nodes.rs
+++ b/scale/src/hollow/nodes.rs
@@ -2,8 +2,8 @@
 
 use std::time::Duration;
 
-use peathatch::interface::LoadReport;
-use peathatch_wirehost::setup;
+use stilelead_decision::interface::LoadReport;
+use stilelead_simulator::setup;
 
 use super::connections::Connection;
 use crate::node::model::NodeModel;
--- a/scale/src/hollow/schedule.rs
+++ b/scale/src/hollow/schedule.rs
@@ -4,7 +4,7 @@
 use std::collections::BinaryHeap;
 use std::time::Duration;
 
-use peathatch::interface::RequestId;
+use stilelead_decision::interface::RequestId;
 
 use super::calls::{AttemptId, CallId, RunId};
 
--- a/scale/src/hollow/tests.rs
+++ b/scale/src/hollow/tests.rs
@@ -2,8 +2,8 @@
 
 use std::time::Duration;
 
-use dahliahead::config::Config;
-use dahliahead::discovery::Endpoint;
+use stilelead::config::Config;
+use stilelead::discovery::Endpoint;
 use tokio::time::{sleep, timeout};
 
 use super::arrivals::{Arrival, Arrivals};
--- a/scale/src/process/balancer/tests.rs
+++ b/scale/src/process/balancer/tests.rs
@@ -33,7 +33,7 @@
     let executable = std::env::current_exe().expect("it runs");
     let target = executable.ancestors().nth(3).expect("target/debug/deps");
     let built = Command::new(env!("CARGO"))
-        .args(["build", "--locked", "-p", "dahliahead", "--target-dir"])
+        .args(["build", "--locked", "-p", "stilelead", "--target-dir"])
         .arg(target)
         .current_dir(env!("CARGO_MANIFEST_DIR"))
         .status();
--- a/scale/src/process/program.rs
+++ b/scale/src/process/program.rs
@@ -8,11 +8,11 @@
 /// Variable of the environment that names another program.
 pub const PROGRAM_VARIABLE: &str = "STILELEAD_BALANCER";
 /// File name of the program.
-const PROGRAM: &str = "dahliahead";
+const PROGRAM: &str = "stilelead";
 /// Folder of test executables; the programs stand in the one above.
 const TESTS_FOLDER: &str = "deps";
 
-/// The balancer program: the one that `STILELEAD_BALANCER` names, or else `dahliahead` beside this executable.
+/// The balancer program: the one that `STILELEAD_BALANCER` names, or else `stilelead` beside this executable.
 ///
 /// # Errors
 /// There is no such file.
--- a/scale/src/process/settings.rs
+++ b/scale/src/process/settings.rs
@@ -2,8 +2,8 @@
 
 use std::net::SocketAddr;
 
-use dahliahead::discovery::Update;
 use serde::Serialize;
+use stilelead::discovery::Update;
 
 use crate::scenario::{Scenario, SettingsChange};
 use crate::topology::{CopyId, Topology, ZoneId};
--- a/scale/src/process/settings/tests.rs
+++ b/scale/src/process/settings/tests.rs
@@ -3,9 +3,9 @@
 use std::net::{Ipv4Addr, SocketAddr};
 use std::time::Duration;
 
-use dahliahead::config::{Config, ConfigError};
-use dahliahead::discovery::{Endpoint, Update};
-use peathatch::interface::Effect;
+use stilelead::config::{Config, ConfigError};
+use stilelead::discovery::{Endpoint, Update};
+use stilelead_decision::interface::Effect;
 
 use super::{CLASS_EXTRA, CLASS_ORDER, CLASS_READ, configuration};
 use crate::scenario::{Scenario, SettingsChange};
--- a/scale/src/run/lists.rs
+++ b/scale/src/run/lists.rs
@@ -4,7 +4,7 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::{SystemTime, UNIX_EPOCH};
 
-use dahliahead::discovery::Endpoint;
+use stilelead::discovery::Endpoint;
 
 use crate::control::ControlPlane;
 use crate::plan::NodeStatus;
--- a/scale/tests/control.rs
+++ b/scale/tests/control.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use dahliahead::discovery::{Endpoint, Update};
+use stilelead::discovery::{Endpoint, Update};
 use stilelead_scale::control::ControlPlane;
 use stilelead_scale::record::Record;
 use stilelead_scale::scenario::Scenario;
--- a/wirehost/src/host.rs
+++ b/simulator/src/host.rs
@@ -4,12 +4,12 @@
 use std::str::from_utf8;
 use std::time::Duration;
 
-use peathatch::interface::{
+use rustc_hash::FxHashMap;
+use stilelead_decision::interface::{
     AttemptEnded, AttemptNumber, ClassId, KindId, ListUpdate, LoadReport, Member, Request, RequestId,
     TenantId, UpstreamId, ZoneId,
 };
-use peathatch::{Action, Balancer, Event};
-use rustc_hash::FxHashMap;
+use stilelead_decision::{Action, Balancer, Event};
 use thiserror::Error;
 
 use crate::setup::{self, Loaded, Names};
--- a/wirehost/src/main.rs
+++ b/simulator/src/main.rs
@@ -1,10 +1,10 @@
-//! Hosts peathatch balancers on the bench's line protocol: events on standard input, actions on
-//! standard output. It translates and decides nothing.
+//! Hosts the decision library's balancers on the bench's line protocol: events on standard input,
+//! actions on standard output. It translates and decides nothing.
 
 use std::io::{self, BufReader, BufWriter};
 use std::process::ExitCode;
 
-use peathatch_wirehost::Host;
+use stilelead_simulator::Host;
 
 fn main() -> ExitCode {
     let input = BufReader::with_capacity(1 << 16, io::stdin().lock());
@@ -12,7 +12,7 @@
     match Host::default().run(input, output) {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
-            eprintln!("peathatch-wirehost: {error}");
+            eprintln!("stilelead-simulator: {error}");
             ExitCode::FAILURE
         }
     }
--- a/wirehost/src/setup.rs
+++ b/simulator/src/setup.rs
@@ -5,11 +5,11 @@
 
 use std::time::Duration;
 
-use peathatch::interface::{
-    Allowed, Class, DedupScope, DiscoveryMode, Effect, LoadReport, Prices, Rules, Settings, Tenant, ZoneId,
-};
 use rustc_hash::FxHashMap;
 use serde::Deserialize;
+use stilelead_decision::interface::{
+    Allowed, Class, DedupScope, DiscoveryMode, Effect, LoadReport, Prices, Rules, Settings, Tenant, ZoneId,
+};
 use thiserror::Error;
 
 /// Why the settings cannot be used.
--- a/wirehost/src/wire.rs
+++ b/simulator/src/wire.rs
@@ -3,7 +3,7 @@
 use std::str::FromStr;
 use std::time::Duration;
 
-use peathatch::interface::{Outcome, Phase, SettingsError};
+use stilelead_decision::interface::{Outcome, Phase, SettingsError};
 use thiserror::Error;
 
 use crate::setup::SetupError;
--- a/wirehost/tests/transcripts.rs
+++ b/simulator/tests/transcripts.rs
@@ -11,7 +11,7 @@
 }
 
 fn run(input: &[u8]) -> Run {
-    let mut child = Command::new(env!("CARGO_BIN_EXE_peathatch-wirehost"))
+    let mut child = Command::new(env!("CARGO_BIN_EXE_stilelead-simulator"))
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
         .stderr(Stdio::piped())
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -6,7 +6,7 @@
 //!
 //! ```
 //! use std::time::Duration;
-//! use peathatch::{Action, Balancer, Event, interface::*};
+//! use stilelead_decision::{Action, Balancer, Event, interface::*};
 //!
 //! let settings = Settings::single_zone(vec![Class {
 //!     aim: Duration::from_millis(500),
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -3,8 +3,8 @@
 
 use std::time::Duration;
 
-use peathatch::interface::*;
-use peathatch::{Action, Balancer, Event, Settings};
+use stilelead_decision::interface::*;
+use stilelead_decision::{Action, Balancer, Event, Settings};
 
 /// Where the test clocks start; any time will do.
 pub const START: Duration = Duration::from_secs(1000);
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -6,8 +6,8 @@
 
 use common::*;
 use oorandom::Rand64;
-use peathatch::Settings;
-use peathatch::interface::*;
+use stilelead_decision::Settings;
+use stilelead_decision::interface::*;
 
 const UPSTREAMS: u32 = 12;
 /// The first ones come back cold together.
@@ -60,7 +60,7 @@
         if now > restart && !told {
             told = true;
             for copy in &mut copies {
-                copy.tell(peathatch::Event::List(ListUpdate::Whole(members(Some(restart)))));
+                copy.tell(stilelead_decision::Event::List(ListUpdate::Whole(members(Some(restart)))));
             }
         }
         let calls = fleet.calls * if told { 1.5 } else { 1.0 };
--- a/tests/list_trust.rs
+++ b/tests/list_trust.rs
@@ -5,8 +5,8 @@
 use std::time::Duration;
 
 use common::{Bench, START, class, member, millis, sent};
-use peathatch::interface::*;
-use peathatch::{Action, Balancer, Event, Settings};
+use stilelead_decision::interface::*;
+use stilelead_decision::{Action, Balancer, Event, Settings};
 
 /// The grace for drains, less the time for which the process may be held up.
 const GRACE: Duration = Duration::from_millis(150);
--- a/tests/pick.rs
+++ b/tests/pick.rs
@@ -5,10 +5,10 @@
 use std::collections::{BTreeMap, VecDeque};
 
 use common::*;
-use peathatch::interface::*;
-use peathatch::{Action, Settings};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
+use stilelead_decision::interface::*;
+use stilelead_decision::{Action, Settings};
 
 fn settings() -> Settings {
     Settings::single_zone(vec![class(Effect::Safe)])
--- a/tests/reconfigure.rs
+++ b/tests/reconfigure.rs
@@ -5,8 +5,8 @@
 use std::time::Duration;
 
 use common::*;
-use peathatch::interface::*;
-use peathatch::{Action, Event, Settings};
+use stilelead_decision::interface::*;
+use stilelead_decision::{Action, Event, Settings};
 
 fn settings(quota: f64) -> Settings {
     let mut settings = Settings::single_zone(vec![class(Effect::Safe)]);
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -6,10 +6,10 @@
 use std::time::Duration;
 
 use common::{START, millis};
-use peathatch::interface::*;
-use peathatch::{Action, Balancer, Event, Settings};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
+use stilelead_decision::interface::*;
+use stilelead_decision::{Action, Balancer, Event, Settings};
 
 #[derive(Debug, Clone)]
 enum Step {
--- a/tests/suppressor.rs
+++ b/tests/suppressor.rs
@@ -3,8 +3,8 @@
 mod common;
 
 use common::*;
-use peathatch::interface::*;
-use peathatch::{Action, Event, Settings};
+use stilelead_decision::interface::*;
+use stilelead_decision::{Action, Event, Settings};
 
 /// A first-tier copy whose only tenant is held to 10 calls a second: a third of 25 and a standard
 /// deviation of its chance over the window.
--- a/wirehost/src/lib.rs
+++ /dev/null
@@ -1,9 +0,0 @@
-//! The simulator's side of peathatch: the settings object, which the real balancer reads as well, and
-//! the host of the line protocol.
-
-mod host;
-pub mod setup;
-mod wire;
-
-pub use host::{Host, HostError};
-pub use wire::Malformed;
