--- a/examples/embed.rs
+++ b/examples/embed.rs
@@ -11,10 +11,10 @@
 
 fn main() -> Result<(), SettingsError> {
     let read = Class {
-        aim: Duration::from_millis(500),
+        latency_target: Duration::from_millis(500),
         deadline: Duration::from_secs(2),
-        late_worth: 0.0,
-        effect: Effect::Safe,
+        late_value: 0.0,
+        idempotency: Idempotency::Idempotent,
     };
     let mut balancer = Balancer::new(Settings::single_zone(vec![read]), 7)?;
     let mut now = Duration::from_secs(1);
@@ -23,19 +23,19 @@
     let members = (1..=3).map(|id| Member {
         id: UpstreamId(id),
         zone: Some(ZoneId(0)),
-        kind: None,
+        machine_type: None,
         cell: 0,
         phase: Phase::Ready,
         weight: 1.0,
-        started: None,
+        started_at: None,
     });
-    balancer.handle(now, Event::List(ListUpdate::Whole(members.collect())), &mut actions);
+    balancer.handle(now, Event::Discovery(DiscoveryUpdate::Full(members.collect())), &mut actions);
 
     let mut wake = carry_out(now, &mut actions).expect("a start asks for the first wake-up");
     for number in 0..20 {
         now += Duration::from_millis(50);
         if now >= wake {
-            balancer.handle(now, Event::Wake, &mut actions);
+            balancer.handle(now, Event::TimerFired, &mut actions);
             wake = carry_out(now, &mut actions).expect("each wake-up asks for the next");
         }
         let id = RequestId(number);
@@ -43,10 +43,10 @@
             id,
             class: ClassId(0),
             tenant: None,
-            key: None,
+            resource_key: None,
             time_left: Duration::from_secs(2),
             expected_work: None,
-            repeat: false,
+            is_retry: false,
         };
         balancer.handle(now, Event::Request(request), &mut actions);
         let sent = actions.iter().any(|action| matches!(action, Action::Send { .. }));
@@ -57,8 +57,8 @@
                 request: id,
                 attempt: AttemptNumber(0),
                 outcome: Outcome::Good,
-                took: Duration::from_millis(20),
-                finished: true,
+                duration: Duration::from_millis(20),
+                request_ended: true,
                 load: None,
             });
             balancer.handle(now + Duration::from_millis(20), ended, &mut actions);
@@ -73,7 +73,7 @@
     let mut wake = None;
     for action in actions.drain(..) {
         match action {
-            Action::WakeAfter(span) => wake = Some(now + span),
+            Action::SetTimer(span) => wake = Some(now + span),
             other => println!("{:.2} s: {other:?}", now.as_secs_f64()),
         }
     }
--- a/proxy/src/clock.rs
+++ b/proxy/src/clock.rs
@@ -2,7 +2,7 @@
 
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-use stilelead_decision::interface::Time;
+use stilelead_decision::interface::Timestamp;
 use tokio::time::Instant;
 
 /// How far the module's clock runs ahead of the program's start: upstreams that started before it have a
@@ -27,19 +27,19 @@
 
     /// The time on it now.
     #[must_use]
-    pub fn now(&self) -> Time {
+    pub fn now(&self) -> Timestamp {
         self.at(Instant::now())
     }
 
     /// The time on it at an instant; that of its start for earlier ones.
     #[must_use]
-    pub fn at(&self, instant: Instant) -> Time {
+    pub fn at(&self, instant: Instant) -> Timestamp {
         CLOCK_LEAD + instant.saturating_duration_since(self.zero)
     }
 
     /// The time on it of a Unix time in milliseconds; `None` of one long ago.
     #[must_use]
-    pub fn of_unix(&self, unix_ms: u64) -> Option<Time> {
+    pub fn of_unix(&self, unix_ms: u64) -> Option<Timestamp> {
         unix_ms.checked_sub(self.zero_ms).filter(|&since| since > 0).map(Duration::from_millis)
     }
 }
--- a/proxy/src/directory.rs
+++ b/proxy/src/directory.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 
 use rustc_hash::{FxHashMap, FxHashSet};
-use stilelead_decision::interface::{KindId, ListUpdate, Member, Phase, UpstreamId, ZoneId};
+use stilelead_decision::interface::{DiscoveryUpdate, MachineTypeId, Member, Phase, UpstreamId, ZoneId};
 use stilelead_simulator::setup::Names;
 
 use crate::clock::Clock;
@@ -24,7 +24,7 @@
 #[derive(Debug)]
 pub struct Change {
     /// The word for the decisions.
-    pub list: ListUpdate,
+    pub list: DiscoveryUpdate,
     /// Upstreams whose process is a new one; the old one took its connections along.
     pub restarted: Vec<UpstreamId>,
 }
@@ -104,11 +104,11 @@
             }
         }
         let list = match origin {
-            Origin::Configuration => ListUpdate::StaleCopy(members),
-            Origin::Watch | Origin::FormerWatch if update.snapshot => ListUpdate::Whole(members),
-            Origin::Watch | Origin::FormerWatch => ListUpdate::Patch(members),
+            Origin::Configuration => DiscoveryUpdate::Stale(members),
+            Origin::Watch | Origin::FormerWatch if update.snapshot => DiscoveryUpdate::Full(members),
+            Origin::Watch | Origin::FormerWatch => DiscoveryUpdate::Incremental(members),
         };
-        if !matches!(list, ListUpdate::Patch(_)) {
+        if !matches!(list, DiscoveryUpdate::Incremental(_)) {
             self.listed.retain(|id, _| seen.contains(id));
         }
         let listed = &self.listed;
@@ -145,11 +145,11 @@
         Some(Member {
             id,
             zone: names.zones.get(&endpoint.zone).copied().map(ZoneId),
-            kind: names.kinds.get(&endpoint.kind).copied().map(KindId),
+            machine_type: names.kinds.get(&endpoint.kind).copied().map(MachineTypeId),
             cell: endpoint.group,
             phase,
             weight: if weight.is_finite() && weight >= 0.0 { weight } else { 1.0 },
-            started: self.clock.of_unix(endpoint.since_ms),
+            started_at: self.clock.of_unix(endpoint.since_ms),
         })
     }
 
--- a/proxy/src/driver.rs
+++ b/proxy/src/driver.rs
@@ -11,10 +11,10 @@
 use bytes::Bytes;
 use rustc_hash::{FxHashMap, FxHashSet};
 use stilelead_decision::interface::{
-    AttemptEnded, AttemptNumber, ClassId, ListUpdate, Outcome, Request, RequestId, SettingsError, TenantId,
-    UpstreamId,
+    AttemptEnded, AttemptNumber, ClassId, DiscoveryUpdate, Outcome, Request, RequestId, SettingsError,
+    TenantId, UpstreamId,
 };
-use stilelead_decision::report::{EndReason, Report};
+use stilelead_decision::report::{Report, UnservedReason};
 use stilelead_decision::{Action, Balancer, Event};
 use tokio::sync::{Notify, oneshot};
 use tokio::task::spawn_local;
@@ -324,10 +324,10 @@
             id,
             class: taken.class,
             tenant: taken.tenant,
-            key: taken.key,
+            resource_key: taken.key,
             time_left: deadline.saturating_duration_since(Instant::now()),
             expected_work: taken.expected_work,
-            repeat: taken.repeat,
+            is_retry: taken.repeat,
         }));
         Some((id, receiver))
     }
@@ -351,7 +351,7 @@
             }
             core.release(id);
         }
-        self.handle(Event::ClientLeft(id));
+        self.handle(Event::RequestAbandoned(id));
     }
 
     /// An attempt is over, which took so long.
@@ -387,8 +387,8 @@
             request: job.request,
             attempt: job.attempt,
             outcome: ended.outcome,
-            took,
-            finished,
+            duration: took,
+            request_ended: finished,
             load: ended.load,
         }));
     }
@@ -436,8 +436,8 @@
             change.list
         };
         self.handle(match origin {
-            Origin::Configuration | Origin::Watch => Event::List(list),
-            Origin::FormerWatch => Event::FormerList(list),
+            Origin::Configuration | Origin::Watch => Event::Discovery(list),
+            Origin::FormerWatch => Event::FormerDiscovery(list),
         });
     }
 
@@ -461,7 +461,7 @@
             Action::Send { request, upstream, timeout, start_within } => {
                 self.send(core, request, upstream, timeout, start_within);
             }
-            Action::Withdraw { request, attempt } => {
+            Action::CancelAttempt { request, attempt } => {
                 let held = core.requests.get_mut(&request);
                 if let Some(out) =
                     held.and_then(|held| held.attempts.get_mut(attempt.0 as usize)).and_then(Option::take)
@@ -472,12 +472,12 @@
             }
             Action::Refuse { request, retry_after } => core.answer(request, Answer::Refused { retry_after }),
             Action::Fail { request } => core.answer(request, Answer::Failed),
-            Action::Subscribe => {
+            Action::SubscribeToDiscovery => {
                 self.metrics.watch_asked();
                 core.subscription
                     .renew(|request| spawn_local(discovery::watch(Rc::clone(self), request)).abort_handle());
             }
-            Action::AbortConnects { upstream } => {
+            Action::AbortPendingConnects { upstream } => {
                 // Until its first byte is written it waits for a connection, and can't have run.
                 let connecting = |out: &mut Out| out.upstream == upstream && !out.progress.begun();
                 let attempts = core.requests.values_mut().flat_map(|held| &mut held.attempts);
@@ -486,20 +486,20 @@
                 }
             }
             // Health checks are not made here: where a site allowed them, they would end unsent.
-            Action::Probe { upstream } => core.events.push_back(Event::Probed {
+            Action::Probe { upstream } => core.events.push_back(Event::ProbeEnded {
                 upstream,
                 outcome: Outcome::NotSent,
-                took: Duration::ZERO,
+                duration: Duration::ZERO,
                 load: None,
             }),
-            Action::DropIdle { upstream } => {
+            Action::CloseIdleConnections { upstream } => {
                 core.kept.remove(&upstream);
             }
-            Action::WakeAfter(span) => {
+            Action::SetTimer(span) => {
                 let driver = Rc::clone(self);
                 spawn_local(async move {
                     sleep(span).await;
-                    driver.handle(Event::Wake);
+                    driver.handle(Event::TimerFired);
                 });
             }
             Action::Report(report) => self.report(core, report),
@@ -509,20 +509,20 @@
     fn report(&self, core: &Core, report: Report) {
         let name = |upstream| core.directory.name(upstream).unwrap_or("unlisted");
         match report {
-            Report::RequestEnded { request, reason } => {
+            Report::RequestUnserved { request, reason } => {
                 self.metrics.request_unserved(reason.into());
                 let Some(held) = core.requests.get(&request) else { return };
                 let last_attempt = match reason {
-                    EndReason::AttemptFailed(outcome) => Some(outcome),
-                    EndReason::Suppressed | EndReason::NoUpstream => None,
+                    UnservedReason::AttemptFailed(outcome) => Some(outcome),
+                    UnservedReason::Suppressed | UnservedReason::NoUpstream => None,
                 };
                 tracing::debug!(id = %held.client_id(), ?reason, ?last_attempt, "request ended unserved");
             }
-            Report::ListTrust(level) => {
+            Report::ListTrustChanged(level) => {
                 self.metrics.list_trust_changed(level);
                 tracing::info!(?level, "trust in the list changed");
             }
-            Report::Ejected { upstream, span } => {
+            Report::Ejected { upstream, duration: span } => {
                 self.metrics.ejected();
                 tracing::debug!(upstream = name(upstream), span_ms = span.as_millis(), "upstream ejected");
             }
@@ -547,8 +547,8 @@
                 request,
                 attempt,
                 outcome: Outcome::NotSent,
-                took: Duration::ZERO,
-                finished,
+                duration: Duration::ZERO,
+                request_ended: finished,
                 load: None,
             }));
         };
@@ -584,10 +584,10 @@
         }
         self.metrics.watch_ended(reason.kind());
         tracing::warn!(watch = watch.0, "the watch on discovery broke: {reason}");
-        self.handle(Event::List(match reason {
-            WatchError::Unreachable => ListUpdate::Unreachable,
-            WatchError::Silent { heard: Some(silence) } => ListUpdate::Silent(*silence),
-            _ => ListUpdate::Broken,
+        self.handle(Event::Discovery(match reason {
+            WatchError::Unreachable => DiscoveryUpdate::Unreachable,
+            WatchError::Silent { heard: Some(silence) } => DiscoveryUpdate::TimedOut(*silence),
+            _ => DiscoveryUpdate::Failed,
         }));
     }
 
--- a/proxy/src/in_force.rs
+++ b/proxy/src/in_force.rs
@@ -89,11 +89,11 @@
             classes: placed(self.settings.classes.clone(), &told.classes, &classes.positions),
             tenants: placed(retired, &told.tenants, &tenants.positions),
             zone: ZoneId(zones.positions[told.zone.0]),
-            zones: zones.given_out.len(),
-            kinds: kinds.given_out.len(),
+            zone_count: zones.given_out.len(),
+            machine_type_count: kinds.given_out.len(),
             ..told
         };
-        settings.succeeds(&self.settings)?;
+        settings.validate_replacement_of(&self.settings)?;
         let names = Names {
             classes: classes.in_use,
             tenants: tenants.in_use,
@@ -143,8 +143,8 @@
         parts.extend(list_parts(NameList::Zones, &self.names.zones, &next.names.zones, alike));
         parts.extend(list_parts(NameList::Kinds, &self.names.kinds, &next.names.kinds, alike));
         let counts = [
-            ("copies", u64::from(old.copies), u64::from(new.copies)),
-            ("number", u64::from(old.index), u64::from(new.index)),
+            ("copies", u64::from(old.replica_count), u64::from(new.replica_count)),
+            ("number", u64::from(old.replica_index), u64::from(new.replica_index)),
             ("tier", old.tier as u64, new.tier as u64),
             ("sockets", self.sockets as u64, next.sockets as u64),
         ];
@@ -152,12 +152,12 @@
         parts.extend(moved.map(|(name, from, to)| Part::Count { name, from, to }));
         let figures = [
             ("zone", old.zone != new.zone),
-            ("over-share worth", old.over_share_worth != new.over_share_worth),
+            ("over-share worth", old.over_quota_value != new.over_quota_value),
             ("how lists come", old.discovery != new.discovery),
-            ("deadlines passed on", old.passes_deadline != new.passes_deadline),
-            ("caps", old.allowed != new.allowed || self.connect_timeout != next.connect_timeout),
+            ("deadlines passed on", old.propagates_deadline != new.propagates_deadline),
+            ("caps", old.capabilities != new.capabilities || self.connect_timeout != next.connect_timeout),
             ("rules", old.rules != new.rules),
-            ("prices", old.prices != new.prices),
+            ("prices", old.costs != new.costs),
             ("load report", self.names.load_fields != next.names.load_fields),
         ];
         parts
@@ -172,9 +172,10 @@
         if settings.discovery == DiscoveryMode::Push {
             // Over HTTP these lists come on a watch too, but count as told without one, however lately it was asked.
             settings.discovery = DiscoveryMode::Subscribe;
-            settings.rules.ask_within = None;
+            settings.rules.max_poll_interval = None;
         }
-        settings.rules.ask_within = settings.rules.ask_within.map(|span| span.min(ASK_WITHIN_MOST));
+        settings.rules.max_poll_interval =
+            settings.rules.max_poll_interval.map(|span| span.min(ASK_WITHIN_MOST));
         settings
     }
 
@@ -205,13 +206,13 @@
     /// How long an idle connection to an upstream is kept.
     #[must_use]
     pub fn keep(&self) -> Duration {
-        self.settings.allowed.keepalive.mul_f64(KEEP_PART)
+        self.settings.capabilities.keepalive_timeout.mul_f64(KEEP_PART)
     }
 
     /// How long a client that is refused is asked to stay away.
     #[must_use]
     pub fn retry_after(&self) -> Option<Duration> {
-        self.settings.allowed.retry_after
+        self.settings.capabilities.max_retry_after
     }
 
     /// How a class's requests may be repeated and how long its clients wait.
--- a/proxy/src/in_force/tests.rs
+++ b/proxy/src/in_force/tests.rs
@@ -61,12 +61,12 @@
     assert_eq!(places(&next.names.zones), named(&[(1, "south"), (2, "west")]));
     assert_eq!(places(&next.names.kinds), named(&[(0, "std"), (1, "big")]));
     let settings = next.settings();
-    let effects: Vec<_> = settings.classes.iter().map(|class| class.effect).collect();
-    assert_eq!(effects, [stilelead_decision::interface::Effect::Unsafe; 3]);
+    let effects: Vec<_> = settings.classes.iter().map(|class| class.idempotency).collect();
+    assert_eq!(effects, [stilelead_decision::interface::Idempotency::NonIdempotent; 3]);
     let quotas: Vec<_> = settings.tenants.iter().map(|tenant| tenant.quota).collect();
     assert_eq!(quotas, [Some(0.0), Some(8.0), Some(9.0)]);
-    assert_eq!((settings.zone, settings.zones, settings.kinds), (ZoneId(2), 3, 2));
-    assert_eq!(settings.succeeds(&start.settings()), Ok(()));
+    assert_eq!((settings.zone, settings.zone_count, settings.machine_type_count), (ZoneId(2), 3, 2));
+    assert_eq!(settings.validate_replacement_of(&start.settings()), Ok(()));
     // A name that comes back finds its position.
     let (back, line) = changed(&next, |_| {});
     assert!(line.starts_with("1 class added, 1 class removed, 1 class changed"), "{line}");
--- a/proxy/src/metrics.rs
+++ b/proxy/src/metrics.rs
@@ -7,7 +7,7 @@
 use prometheus_client::metrics::gauge::Gauge;
 use prometheus_client::registry::Registry;
 use stilelead_decision::interface::Outcome;
-use stilelead_decision::report::{EndReason, TrustLevel};
+use stilelead_decision::report::{TrustLevel, UnservedReason};
 
 /// The media type of [`Metrics::text`].
 pub const MEDIA_TYPE: &str = "application/openmetrics-text; version=1.0.0; charset=utf-8";
@@ -40,12 +40,12 @@
     ShuttingDown,
 }
 
-impl From<EndReason> for Reason {
-    fn from(reason: EndReason) -> Self {
+impl From<UnservedReason> for Reason {
+    fn from(reason: UnservedReason) -> Self {
         match reason {
-            EndReason::Suppressed => Self::Suppressed,
-            EndReason::NoUpstream => Self::NoUpstream,
-            EndReason::AttemptFailed(_) => Self::AttemptFailed,
+            UnservedReason::Suppressed => Self::Suppressed,
+            UnservedReason::NoUpstream => Self::NoUpstream,
+            UnservedReason::AttemptFailed(_) => Self::AttemptFailed,
         }
     }
 }
--- a/proxy/src/server.rs
+++ b/proxy/src/server.rs
@@ -22,7 +22,7 @@
 use hyper::{Method, Request, Response, StatusCode, Uri};
 use hyper_util::rt::{TokioIo, TokioTimer};
 use socket2::SockRef;
-use stilelead_decision::interface::{ClassId, Effect, RequestId, TenantId};
+use stilelead_decision::interface::{ClassId, Idempotency, RequestId, TenantId};
 use thiserror::Error;
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::mpsc::UnboundedReceiver;
@@ -621,12 +621,12 @@
     let class = head.uri.path().trim_start_matches('/').split('/').next().unwrap_or_default();
     let class = ClassId(*names.classes.get(class).ok_or(BadRequest::Class)?);
     let figures = in_force.class(class).ok_or(BadRequest::Class)?;
-    match figures.effect {
-        Effect::Safe if head.method != Method::GET => return Err(BadRequest::Method),
-        Effect::Keyed { .. } if filled(&head.headers, IDEMPOTENCY_KEY).is_none() => {
+    match figures.idempotency {
+        Idempotency::Idempotent if head.method != Method::GET => return Err(BadRequest::Method),
+        Idempotency::Deduplicated { .. } if filled(&head.headers, IDEMPOTENCY_KEY).is_none() => {
             return Err(BadRequest::Key);
         }
-        Effect::Keyed { .. } | Effect::Unsafe if head.method != Method::POST => {
+        Idempotency::Deduplicated { .. } | Idempotency::NonIdempotent if head.method != Method::POST => {
             return Err(BadRequest::Method);
         }
         _ => {}
--- a/proxy/tests/clients.rs
+++ b/proxy/tests/clients.rs
@@ -568,7 +568,7 @@
         (sound.replace("idempotent", "harmless"), "settings are malformed"),
         (
             sound.replace("\"me\":0", "\"me\":0,\"balancers\":0").replacen("\"balancers\":1,", "", 1),
-            "copies is 0",
+            "number of replicas is 0",
         ),
         (sound.replace("\"onTimeS\":1.0", "\"onTimeS\":100.0"), "class 0"),
         (sound.replace("\"pay\"", "\"read\""), "lanes makes no sense: \"read\""),
--- a/proxy/tests/reload.rs
+++ b/proxy/tests/reload.rs
@@ -179,7 +179,7 @@
         (sound.as_bytes()[..sound.len() - 1].to_vec(), "malformed"),
         ([sound.as_bytes(), &b" ".repeat(9 << 20)].concat(), "is larger than"),
         (vec![0xff, 0xfe], "cannot read"),
-        (with(|text| text["settings"]["balancers"] = json!(0)), "copies is 0"),
+        (with(|text| text["settings"]["balancers"] = json!(0)), "number of replicas is 0"),
         (with(|text| text["settings"]["lanes"] = json!([])), "no class"),
         (with(|text| text["settings"]["zone"] = json!("west")), "zone makes no sense"),
     ];
--- a/scale/src/cover.rs
+++ b/scale/src/cover.rs
@@ -7,8 +7,8 @@
 
 use serde::Serialize;
 use stilelead_decision::interface::{
-    AttemptEnded, AttemptNumber, Class, ClassId, Effect, ListUpdate, Member, Outcome, Phase, Request,
-    RequestId, Settings, SettingsError, UpstreamId, ZoneId,
+    AttemptEnded, AttemptNumber, Class, ClassId, DiscoveryUpdate, Idempotency, Member, Outcome, Phase,
+    Request, RequestId, Settings, SettingsError, UpstreamId, ZoneId,
 };
 use stilelead_decision::{Action, Balancer, Event};
 
@@ -86,17 +86,18 @@
 /// A copy that knows all endpoints.
 fn started(index: u32, copies: u32, endpoints: u32, seed: u64) -> Result<Balancer, SettingsError> {
     let class = Class {
-        aim: Duration::from_millis(500),
+        latency_target: Duration::from_millis(500),
         deadline: Duration::from_secs(2),
-        late_worth: 0.0,
-        effect: Effect::Safe,
+        late_value: 0.0,
+        idempotency: Idempotency::Idempotent,
     };
-    let settings = Settings { index, copies, ..Settings::single_zone(vec![class]) };
+    let settings =
+        Settings { replica_index: index, replica_count: copies, ..Settings::single_zone(vec![class]) };
     let mut copy = Balancer::new(settings, seed.wrapping_add(u64::from(index)))?;
     let members = (0..endpoints).map(member).collect();
     let mut actions = Vec::new();
     copy.handle(STARTS_AT, Event::Started, &mut actions);
-    copy.handle(STARTS_AT, Event::List(ListUpdate::Whole(members)), &mut actions);
+    copy.handle(STARTS_AT, Event::Discovery(DiscoveryUpdate::Full(members)), &mut actions);
     Ok(copy)
 }
 
@@ -104,11 +105,11 @@
     Member {
         id: UpstreamId(id),
         zone: Some(ZoneId(0)),
-        kind: None,
+        machine_type: None,
         cell: 0,
         phase: Phase::Ready,
         weight: 1.0,
-        started: None,
+        started_at: None,
     }
 }
 
@@ -120,10 +121,10 @@
         id,
         class: ClassId(0),
         tenant: None,
-        key: None,
+        resource_key: None,
         time_left: Duration::from_secs(2),
         expected_work: None,
-        repeat: false,
+        is_retry: false,
     };
     let mut actions = Vec::new();
     copy.handle(now, Event::Request(request), &mut actions);
@@ -135,8 +136,8 @@
         request: id,
         attempt: AttemptNumber(0),
         outcome: Outcome::Good,
-        took: CALL_TAKES,
-        finished: true,
+        duration: CALL_TAKES,
+        request_ended: true,
         load: None,
     };
     copy.handle(now + CALL_TAKES, Event::AttemptEnded(answer), &mut actions);
--- a/scale/src/hollow/host.rs
+++ b/scale/src/hollow/host.rs
@@ -195,7 +195,7 @@
             Due::WorkDone(run) => self.work_done(run),
             Due::Wake { copy, life } => {
                 if self.copies[copy].life == life {
-                    self.tell(copy, Event::Wake);
+                    self.tell(copy, Event::TimerFired);
                 }
             }
             Due::Sweep { copy } => self.sweep(copy),
@@ -231,21 +231,21 @@
             Action::Send { request, upstream, timeout, start_within } => {
                 self.send(request, upstream, timeout, start_within);
             }
-            Action::Withdraw { request, attempt } => self.withdraw(request, attempt),
+            Action::CancelAttempt { request, attempt } => self.withdraw(request, attempt),
             Action::Refuse { request, retry_after } => self.answer(request, Answer::Refused { retry_after }),
             Action::Fail { request } => self.answer(request, Answer::Failed),
-            Action::Subscribe => self.subscribe(copy),
-            Action::AbortConnects { upstream } => self.abort_connects(copy, upstream),
+            Action::SubscribeToDiscovery => self.subscribe(copy),
+            Action::AbortPendingConnects { upstream } => self.abort_connects(copy, upstream),
             // Health checks are not made, as in the balancer.
             Action::Probe { upstream } => {
                 let (outcome, took) = (Outcome::NotSent, Duration::ZERO);
-                self.tell(copy, Event::Probed { upstream, outcome, took, load: None });
+                self.tell(copy, Event::ProbeEnded { upstream, outcome, duration: took, load: None });
             }
-            Action::DropIdle { upstream } => {
+            Action::CloseIdleConnections { upstream } => {
                 let dropped = self.copies[copy].idle.drain(upstream);
                 self.close(dropped);
             }
-            Action::WakeAfter(span) => {
+            Action::SetTimer(span) => {
                 let life = self.copies[copy].life;
                 self.schedule.add(self.now + span, Due::Wake { copy, life });
             }
--- a/scale/src/hollow/host/attempts.rs
+++ b/scale/src/hollow/host/attempts.rs
@@ -32,8 +32,8 @@
                 request,
                 attempt: number,
                 outcome: Outcome::NotSent,
-                took: Duration::ZERO,
-                finished: held.answered,
+                duration: Duration::ZERO,
+                request_ended: held.answered,
                 load: None,
             };
             return self.tell(copy, Event::AttemptEnded(ended));
@@ -143,8 +143,8 @@
                 request: id.request,
                 attempt: id.number,
                 outcome,
-                took: self.now.saturating_sub(attempt.sent.unwrap_or(attempt.asked)),
-                finished,
+                duration: self.now.saturating_sub(attempt.sent.unwrap_or(attempt.asked)),
+                request_ended: finished,
                 load,
             }),
         );
--- a/scale/src/hollow/host/lists.rs
+++ b/scale/src/hollow/host/lists.rs
@@ -8,7 +8,7 @@
 use stilelead::discovery::{self, Update, WatchError, WatchEvents, WatchNumber};
 use stilelead::permit::Permit;
 use stilelead_decision::Event;
-use stilelead_decision::interface::ListUpdate;
+use stilelead_decision::interface::DiscoveryUpdate;
 use tokio::task::spawn_local;
 
 use super::Host;
@@ -44,7 +44,7 @@
     pub(super) fn begin_deciding(&mut self, copy: usize) {
         if let Some(known) = self.copies[copy].known.take() {
             let change = self.take_list(copy, &known, Origin::Configuration);
-            self.decide(copy, Event::List(change));
+            self.decide(copy, Event::Discovery(change));
             let state = &mut self.copies[copy];
             state.version = known.index;
             // As in the balancer: a list that names nobody to serve is asked for whole.
@@ -76,7 +76,7 @@
         self.catch_up();
         self.copies[copy].subscription.heard(watch, update.index);
         let list = self.take_list(copy, update, Origin::Watch);
-        self.decide(copy, Event::List(list));
+        self.decide(copy, Event::Discovery(list));
         let in_force = Instant::now();
         self.measure(copy, update.index, told, in_force);
         self.set_watching(copy, true);
@@ -84,7 +84,7 @@
     }
 
     /// Takes a list in hand and closes the idle connections that must go.
-    fn take_list(&mut self, copy: usize, update: &Update, origin: Origin) -> ListUpdate {
+    fn take_list(&mut self, copy: usize, update: &Update, origin: Origin) -> DiscoveryUpdate {
         let state = &mut self.copies[copy];
         let Change { list, restarted } = state.take_list(update, origin, &self.positions);
         let directory = &state.directory;
@@ -128,7 +128,7 @@
         }
         self.set_watching(copy, false);
         tracing::debug!(copy = self.name(copy), %reason, "the watch on control broke");
-        self.decide(copy, Event::List(ListUpdate::Broken));
+        self.decide(copy, Event::Discovery(DiscoveryUpdate::Failed));
         self.run_steps();
     }
 }
--- a/scale/src/hollow/host/requests.rs
+++ b/scale/src/hollow/host/requests.rs
@@ -38,7 +38,15 @@
         };
         self.requests.insert(id, held);
         self.schedule.add(deadline + LAST_WORD, Due::Overdue(id));
-        let request = Request { id, class, tenant, key: None, time_left, expected_work: None, repeat: false };
+        let request = Request {
+            id,
+            class,
+            tenant,
+            resource_key: None,
+            time_left,
+            expected_work: None,
+            is_retry: false,
+        };
         self.tell(copy, Event::Request(request));
         Some(id)
     }
@@ -68,7 +76,7 @@
             return;
         }
         let copy = held.copy;
-        self.tell(copy, Event::ClientLeft(id));
+        self.tell(copy, Event::RequestAbandoned(id));
         self.take_back_unsent(id);
         self.release(id);
     }
--- a/scale/src/process/settings/tests.rs
+++ b/scale/src/process/settings/tests.rs
@@ -5,7 +5,7 @@
 
 use stilelead::config::{Config, ConfigError};
 use stilelead::discovery::{Endpoint, Update};
-use stilelead_decision::interface::Effect;
+use stilelead_decision::interface::Idempotency;
 
 use super::{CLASS_EXTRA, CLASS_ORDER, CLASS_READ, configuration};
 use crate::scenario::{Scenario, SettingsChange};
@@ -74,12 +74,12 @@
         assert_eq!((config.listen, config.discovery, config.sockets), (at(8081), at(8500), 1024));
         assert_eq!(config.known.expect("a list in hand").endpoints[0].name, "n-00001");
         let settings = config.loaded.settings;
-        assert_eq!(settings.index, copy.index);
-        assert_eq!(settings.copies as usize, topology.services[copy.target.0].copies.len());
-        assert_eq!((settings.zone.0, settings.zones), (copy.zone.0 as usize, 4));
-        assert_eq!((settings.allowed.streams, settings.tenants.len()), (1, 3));
-        assert_eq!(settings.rules.cold_share, scenario.node.cold_share);
-        assert_eq!(settings.prices.handshake, 0.05);
+        assert_eq!(settings.replica_index, copy.index);
+        assert_eq!(settings.replica_count as usize, topology.services[copy.target.0].copies.len());
+        assert_eq!((settings.zone.0, settings.zone_count), (copy.zone.0 as usize, 4));
+        assert_eq!((settings.capabilities.max_concurrent_streams, settings.tenants.len()), (1, 3));
+        assert_eq!(settings.rules.slow_start_min_fraction, scenario.node.cold_share);
+        assert_eq!(settings.costs.handshake, 0.05);
     }
 }
 
@@ -88,9 +88,9 @@
     let config = parsed(&scenario(), CopyId(0), None).expect("a sound configuration");
     let classes = &config.loaded.names.classes;
     let settings = &config.loaded.settings;
-    assert_eq!(settings.classes[classes[CLASS_READ]].effect, Effect::Safe);
-    assert_eq!(settings.classes[classes[CLASS_ORDER]].effect, Effect::Unsafe);
-    assert_eq!(settings.classes[0].aim, Duration::from_millis(1500));
+    assert_eq!(settings.classes[classes[CLASS_READ]].idempotency, Idempotency::Idempotent);
+    assert_eq!(settings.classes[classes[CLASS_ORDER]].idempotency, Idempotency::NonIdempotent);
+    assert_eq!(settings.classes[0].latency_target, Duration::from_millis(1500));
     assert_eq!(settings.classes[0].deadline, Duration::from_secs(3));
     assert_eq!(config.loaded.names.load_fields, ["active", "waiting", "cpu", "avg_ms"]);
 }
@@ -111,7 +111,7 @@
         let added = changed(SettingsChange::AddClass).expect("a sound configuration").loaded;
         assert_eq!(added.names.classes[CLASS_EXTRA], before.settings.classes.len());
         let doubled = changed(SettingsChange::Copies).expect("a sound configuration").loaded;
-        assert_eq!(doubled.settings.copies, before.settings.copies * 2);
+        assert_eq!(doubled.settings.replica_count, before.settings.replica_count * 2);
         let refused = changed(SettingsChange::Malformed);
         assert!(matches!(refused, Err(ConfigError::Json(_))), "{refused:?}");
     }
--- a/simulator/src/host.rs
+++ b/simulator/src/host.rs
@@ -6,8 +6,8 @@
 
 use rustc_hash::FxHashMap;
 use stilelead_decision::interface::{
-    AttemptEnded, AttemptNumber, ClassId, KindId, ListUpdate, LoadReport, Member, Request, RequestId,
-    TenantId, UpstreamId, ZoneId,
+    AttemptEnded, AttemptNumber, ClassId, DiscoveryUpdate, LoadReport, MachineTypeId, Member, Request,
+    RequestId, TenantId, UpstreamId, ZoneId,
 };
 use stilelead_decision::{Action, Balancer, Event};
 use thiserror::Error;
@@ -195,7 +195,7 @@
         };
         let started = fields.optional_seconds("readyAtS")?.filter(|start| !start.is_zero());
         fields.end()?;
-        let member = Member { id, zone: None, kind: None, cell, phase, weight, started };
+        let member = Member { id, zone: None, machine_type: None, cell, phase, weight, started_at: started };
         self.lists.entry(list).or_default().push(Entry { zone, kind, member });
         self.filling = Some((list, missing - 1));
         Ok(())
@@ -220,7 +220,7 @@
                 let attempt = AttemptNumber(fields.number("n")?);
                 fields.number::<u32>("upstream")?;
                 fields.seconds("durationS")?;
-                id.map(|request| Event::StreamStarted { request, attempt })
+                id.map(|request| Event::ResponseStarted { request, attempt })
             }
             "ATTEMPT_END" => attempt_end(instance, &mut fields)?,
             "TIMED_OUT_CLIENT" => {
@@ -228,30 +228,32 @@
                 if let Some(ticket) = id.and_then(|id| instance.tickets.get_mut(&id)) {
                     ticket.ended = true;
                 }
-                id.map(Event::ClientLeft)
+                id.map(Event::RequestAbandoned)
             }
             "REMINDER" => {
                 fields.text("ref")?;
-                Some(Event::Wake)
+                Some(Event::TimerFired)
             }
             "HEALTH" => {
                 let outcome = wire::outcome(fields.text("outcome")?)?;
                 let took = fields.seconds("durationS")?;
                 let upstream = UpstreamId(fields.number("upstream")?);
                 let load = load(&instance.names, &mut fields)?;
-                Some(Event::Probed { upstream, outcome, took, load })
+                Some(Event::ProbeEnded { upstream, outcome, duration: took, load })
             }
             "NOTE_FROM" => {
                 let from = fields.number("by")?;
                 let content = wire::bytes(fields.text("content")?)?;
-                Some(Event::Message { from, content })
+                Some(Event::PeerMessage { sender: from, payload: content })
             }
             _ => return known(name),
         };
         fields.end()?;
         if let Some(event) = event {
             let ends = match event {
-                Event::ClientLeft(id) | Event::AttemptEnded(AttemptEnded { request: id, .. }) => Some(id),
+                Event::RequestAbandoned(id) | Event::AttemptEnded(AttemptEnded { request: id, .. }) => {
+                    Some(id)
+                }
                 _ => None,
             };
             instance.balancer.handle(self.now, event, &mut self.actions);
@@ -341,7 +343,7 @@
     fields.number::<u64>("version")?;
     let buffer = fields.text("buffer")?;
     if scope == "broken" {
-        return Ok(Event::List(ListUpdate::Broken));
+        return Ok(Event::Discovery(DiscoveryUpdate::Failed));
     }
     let list = buffer.parse().map_err(|_| bad("buffer", buffer))?;
     let entries = lists.get(&list).ok_or(Malformed::NoList(list))?;
@@ -349,14 +351,14 @@
         .iter()
         .map(|entry| Member {
             zone: names.zones.get(&entry.zone).copied().map(ZoneId),
-            kind: names.kinds.get(&entry.kind).copied().map(KindId),
+            machine_type: names.kinds.get(&entry.kind).copied().map(MachineTypeId),
             ..entry.member
         })
         .collect();
-    Ok(Event::List(match scope {
-        "patch" => ListUpdate::Patch(members),
-        "whole" => ListUpdate::Whole(members),
-        "stale_copy" => ListUpdate::StaleCopy(members),
+    Ok(Event::Discovery(match scope {
+        "patch" => DiscoveryUpdate::Incremental(members),
+        "whole" => DiscoveryUpdate::Full(members),
+        "stale_copy" => DiscoveryUpdate::Stale(members),
         _ => return Err(bad("scope", scope)),
     }))
 }
@@ -388,10 +390,10 @@
         id,
         class: ClassId(class),
         tenant: tenant.map(TenantId),
-        key,
+        resource_key: key,
         time_left,
         expected_work: hint.filter(|_| bits & HINT_VALID != 0),
-        repeat: bits & REPEAT != 0,
+        is_retry: bits & REPEAT != 0,
     }))
 }
 
@@ -408,7 +410,14 @@
         ticket.out = ticket.out.saturating_sub(1);
         ticket.ended |= finished;
     }
-    Ok(Some(Event::AttemptEnded(AttemptEnded { request, attempt, outcome, took, finished, load })))
+    Ok(Some(Event::AttemptEnded(AttemptEnded {
+        request,
+        attempt,
+        outcome,
+        duration: took,
+        request_ended: finished,
+        load,
+    })))
 }
 
 fn load(names: &Names, fields: &mut Fields) -> Result<Option<LoadReport>, Malformed> {
@@ -426,14 +435,14 @@
 fn named(action: &Action) -> Option<RequestId> {
     match *action {
         Action::Send { request, .. }
-        | Action::Withdraw { request, .. }
+        | Action::CancelAttempt { request, .. }
         | Action::Refuse { request, .. }
         | Action::Fail { request } => Some(request),
-        Action::Subscribe
+        Action::SubscribeToDiscovery
         | Action::Probe { .. }
-        | Action::AbortConnects { .. }
-        | Action::DropIdle { .. }
-        | Action::WakeAfter(_)
+        | Action::AbortPendingConnects { .. }
+        | Action::CloseIdleConnections { .. }
+        | Action::SetTimer(_)
         | Action::Report(_) => None,
     }
 }
@@ -460,18 +469,18 @@
             write!(output, "CALL_OUT\t{ticket}\t{}\t", upstream.0)?;
             write_seconds(*timeout, output)
         }
-        Action::Withdraw { attempt, .. } => writeln!(output, "WITHDRAW\t{ticket}\t{}", attempt.0),
+        Action::CancelAttempt { attempt, .. } => writeln!(output, "WITHDRAW\t{ticket}\t{}", attempt.0),
         Action::Refuse { retry_after, .. } => {
             write!(output, "DENY\t{ticket}\t")?;
             write_seconds(*retry_after, output)
         }
         Action::Fail { .. } => writeln!(output, "ABORT\t{ticket}"),
-        Action::Subscribe => writeln!(output, "OBSERVE\t1"),
+        Action::SubscribeToDiscovery => writeln!(output, "OBSERVE\t1"),
         // Whose connection is up the simulator does not say; it ends the others by itself.
-        Action::AbortConnects { .. } => Ok(()),
+        Action::AbortPendingConnects { .. } => Ok(()),
         Action::Probe { upstream } => writeln!(output, "POLL\t{}", upstream.0),
-        Action::DropIdle { upstream } => writeln!(output, "DROP_CONNS\t{}", upstream.0),
-        Action::WakeAfter(span) => writeln!(output, "AFTER\t{:.6}\tsweep", span.as_secs_f64()),
+        Action::CloseIdleConnections { upstream } => writeln!(output, "DROP_CONNS\t{}", upstream.0),
+        Action::SetTimer(span) => writeln!(output, "AFTER\t{:.6}\tsweep", span.as_secs_f64()),
         // Each line would be paid for by the copies that the wire measures.
         Action::Report(_) => Ok(()),
     }
--- a/simulator/src/setup.rs
+++ b/simulator/src/setup.rs
@@ -8,7 +8,8 @@
 use rustc_hash::FxHashMap;
 use serde::Deserialize;
 use stilelead_decision::interface::{
-    Allowed, Class, DedupScope, DiscoveryMode, Effect, LoadReport, Prices, Rules, Settings, Tenant, ZoneId,
+    Capabilities, Class, Costs, DedupScope, DiscoveryMode, Idempotency, LoadReport, Rules, Settings, Tenant,
+    ZoneId,
 };
 use thiserror::Error;
 
@@ -199,11 +200,11 @@
 /// Sets the value that the settings call `name` in a load report; other names are passed over.
 pub fn set_load_field(report: &mut LoadReport, name: &str, value: f64) {
     match name {
-        "active" => report.active = Some(value),
-        "waiting" => report.waiting = Some(value),
+        "active" => report.active_requests = Some(value),
+        "waiting" => report.queued_requests = Some(value),
         "cpu" => report.utilization = Some(value),
-        "avg_ms" => report.latency = Duration::try_from_secs_f64(value / 1000.0).ok(),
-        "rps" => report.rate = Some(value),
+        "avg_ms" => report.service_time = Duration::try_from_secs_f64(value / 1000.0).ok(),
+        "rps" => report.request_rate = Some(value),
         "err_rps" => report.error_rate = Some(value),
         _ => {}
     }
@@ -225,50 +226,50 @@
         zones,
     };
     let settings = Settings {
-        index: setup.me,
-        copies: setup.balancers,
+        replica_index: setup.me,
+        replica_count: setup.balancers,
         tier: setup.tier,
         zone: ZoneId(zone),
-        zones: setup.zones.len(),
-        kinds: setup.kinds.len(),
+        zone_count: setup.zones.len(),
+        machine_type_count: setup.kinds.len(),
         classes: setup.lanes.iter().map(class).collect::<Result<_, _>>()?,
         tenants: setup.projects.iter().map(|p| Tenant { quota: p.quota_per_s }).collect(),
-        over_share_worth: setup.over_share_worth,
+        over_quota_value: setup.over_share_worth,
         discovery: match setup.discovery {
             Discovery::Automatic => DiscoveryMode::Push,
             Discovery::Subscribe => DiscoveryMode::Subscribe,
         },
-        passes_deadline: setup.family_info.passes_deadline,
-        allowed: Allowed {
-            attempts: setup.caps.try_limit,
-            second_copies: setup.caps.second_copies,
-            cancel: setup.caps.cancel,
+        propagates_deadline: setup.family_info.passes_deadline,
+        capabilities: Capabilities {
+            max_attempts: setup.caps.try_limit,
+            hedging: setup.caps.second_copies,
+            cancellation: setup.caps.cancel,
             probes: setup.caps.may_probe,
-            messages: setup.caps.may_tell,
-            keepalive: span("caps.keepaliveS", setup.caps.keepalive_s)?,
-            streams: setup.caps.multiplex,
-            retry_after: if setup.caps.retry_after {
+            peer_messages: setup.caps.may_tell,
+            keepalive_timeout: span("caps.keepaliveS", setup.caps.keepalive_s)?,
+            max_concurrent_streams: setup.caps.multiplex,
+            max_retry_after: if setup.caps.retry_after {
                 Some(span("caps.maxRetryAfterS", setup.caps.max_retry_after_s)?)
             } else {
                 None
             },
         },
         rules: Rules {
-            answer_slack: span("rules.answerSlackS", setup.rules.answer_slack_s)?,
+            deadline_grace: span("rules.answerSlackS", setup.rules.answer_slack_s)?,
             drain_grace: span("rules.drainGraceS", setup.rules.drain_grace_s)?,
-            ask_within: setup
+            max_poll_interval: setup
                 .rules
                 .ask_within_s
                 .map(|seconds| span("rules.askWithinS", seconds))
                 .transpose()?,
-            cold_share: setup.rules.cold_share,
-            cold_time: span("rules.coldS", setup.rules.cold_s)?,
-            overload_multiple: setup.rules.fall_multiple,
-            overload_window: span("rules.overloadForS", setup.rules.overload_for_s)?,
+            slow_start_min_fraction: setup.rules.cold_share,
+            slow_start_duration: span("rules.coldS", setup.rules.cold_s)?,
+            overload_factor: setup.rules.fall_multiple,
+            overload_duration: span("rules.overloadForS", setup.rules.overload_for_s)?,
         },
-        prices: Prices {
+        costs: Costs {
             cross_zone: setup.prices.cross_zone,
-            waste: setup.prices.waste,
+            wasted_work: setup.prices.waste,
             late_failure: setup.prices.late_fail,
             handshake: setup.prices.handshake,
             probe: setup.prices.probe,
@@ -280,9 +281,9 @@
 
 fn class(lane: &Lane) -> Result<Class, SetupError> {
     let effect = match lane.effect {
-        EffectName::Idempotent => Effect::Safe,
-        EffectName::AtMostOnce => Effect::Unsafe,
-        EffectName::Deduplicated => Effect::Keyed {
+        EffectName::Idempotent => Idempotency::Idempotent,
+        EffectName::AtMostOnce => Idempotency::NonIdempotent,
+        EffectName::Deduplicated => Idempotency::Deduplicated {
             scope: match lane.dedup_scope.as_deref() {
                 Some("all") => DedupScope::All,
                 Some("zone") => DedupScope::Zone,
@@ -293,10 +294,10 @@
         },
     };
     Ok(Class {
-        aim: span("onTimeS", lane.on_time_s)?,
+        latency_target: span("onTimeS", lane.on_time_s)?,
         deadline: span("hardLimitS", lane.hard_limit_s)?,
-        late_worth: lane.late_worth,
-        effect,
+        late_value: lane.late_worth,
+        idempotency: effect,
     })
 }
 
--- a/simulator/tests/transcripts.rs
+++ b/simulator/tests/transcripts.rs
@@ -237,12 +237,12 @@
 #[test]
 fn settings_without_sense_are_named() {
     for (from, to, cause) in [
-        ("\"balancers\":3", "\"balancers\":0", "the number of copies is 0"),
+        ("\"balancers\":3", "\"balancers\":0", "the number of replicas is 0"),
         ("\"zone\":\"north\"", "\"zone\":\"west\"", "zone makes no sense: \"west\""),
         ("\"onTimeS\":1", "\"onTimeS\":9", "class 0"),
         ("\"onTimeS\":1", "\"onTimeS\":-1", "onTimeS makes no sense"),
         ("\"cell\"", "\"street\"", "dedupScope makes no sense"),
-        ("\"coldShare\":0.2", "\"coldShare\":0", "cold share is out of range"),
+        ("\"coldShare\":0.2", "\"coldShare\":0", "slow start minimum fraction is out of range"),
     ] {
         let done = run(started().replace(from, to).as_bytes());
         assert!(!done.success && done.errors.contains("line 3: setup: "), "{}", done.errors);
--- a/src/decide.rs
+++ b/src/decide.rs
@@ -20,12 +20,12 @@
 use slab::Slab;
 
 use crate::interface::{
-    Action, Allowed, AttemptEnded, AttemptNumber, ClassId, DedupScope, DiscoveryMode, Effect, Event, KindId,
-    ListUpdate, Member, Outcome, Phase, Request, RequestId, Rules, Settings, SettingsError, TenantId, Time,
-    UpstreamId,
+    Action, AttemptEnded, AttemptNumber, Capabilities, ClassId, DedupScope, DiscoveryMode, DiscoveryUpdate,
+    Event, Idempotency, MachineTypeId, Member, Outcome, Phase, Request, RequestId, Rules, Settings,
+    SettingsError, TenantId, Timestamp, UpstreamId,
 };
 use crate::list_trust::ListTrust;
-use crate::report::{EndReason, Report};
+use crate::report::{Report, UnservedReason};
 
 // --- Constants: unit and reason. Figures of a site come with the settings, never from here. ---
 
@@ -269,10 +269,10 @@
         let Some(quota) = quota.filter(|&quota| settings.tier == 0 && quota > 0.0) else {
             return Self { rate: f64::MAX, fair: f64::MAX, ceiling: f64::MAX, ..Self::default() };
         };
-        let fair = quota / f64::from(settings.copies);
+        let fair = quota / f64::from(settings.replica_count);
         let with_chance = |part: f64| part + CHANCE * (part / WINDOW_S).sqrt();
-        let rate = with_chance(fair * uneven(settings.copies));
-        let ceiling = if settings.over_share_worth < EXCESS_COUNTS { rate } else { f64::MAX };
+        let rate = with_chance(fair * uneven(settings.replica_count));
+        let ceiling = if settings.over_quota_value < EXCESS_COUNTS { rate } else { f64::MAX };
         Self { rate, full: rate, fair, quota: Some(with_chance(fair)), ceiling, usual: 0.0 }
     }
 
@@ -282,9 +282,9 @@
         let quotas = settings.tenants.iter().map(|tenant| tenant.quota);
         let mut limits: Vec<_> = quotas.clone().map(|quota| Self::new(settings, quota)).collect();
         let mut shared = Self::new(settings, quotas.sum());
-        if shared.quota.is_some() && limits.len() > 1 && settings.over_share_worth < EXCESS_COUNTS {
+        if shared.quota.is_some() && limits.len() > 1 && settings.over_quota_value < EXCESS_COUNTS {
             let fair = shared.fair;
-            let rate = fair * uneven(settings.copies);
+            let rate = fair * uneven(settings.replica_count);
             let ceiling = rate.max(fair * (1.0 + EXCESS * fair / (fair + NOTICE)));
             shared = Self { rate, full: rate, quota: Some(fair), ceiling, ..shared };
         }
@@ -384,13 +384,13 @@
 /// The part of some upstreams that a copy sends to where so many copies share them: an arc of a ring. The starts of
 /// the copies are evenly spaced; a stride spreads neighbours in number, which may share a zone, over the ring.
 fn arc(settings: &Settings, sharers: f64, slots: &[usize]) -> Arc<[usize]> {
-    let (count, copies) = (slots.len(), u64::from(settings.copies));
+    let (count, copies) = (slots.len(), u64::from(settings.replica_count));
     let size = (count as f64 * COVER / sharers.max(1.0)).ceil() as usize;
     let mut stride = (copies as f64 * 0.618).round().max(1.0) as u64;
     while gcd(stride, copies) != 1 {
         stride += 1;
     }
-    let place = u64::from(settings.index) * stride % copies;
+    let place = u64::from(settings.replica_index) * stride % copies;
     let start = (place * count as u64 / copies) as usize;
     let around = slots.iter().cycle().skip(start);
     around.take(size.clamp(SUBSET_LEAST.min(count), count)).copied().collect()
@@ -466,9 +466,10 @@
 
     /// The part of its capacity that it surely has: it rises at least evenly from the cold share.
     fn warmth(&self, now: f64, settings: &Settings) -> f64 {
-        let Some(started) = self.member.started else { return 1.0 };
+        let Some(started) = self.member.started_at else { return 1.0 };
         let age = (now - started.as_secs_f64()).max(0.0);
-        let Rules { cold_share, cold_time, .. } = settings.rules;
+        let Rules { slow_start_min_fraction: cold_share, slow_start_duration: cold_time, .. } =
+            settings.rules;
         (cold_share + (1.0 - cold_share) * age / cold_time.as_secs_f64().max(1e-6)).min(1.0)
     }
 
@@ -479,14 +480,15 @@
     }
 
     /// Whether an open connection has room for another attempt.
-    fn has_room(&self, now: f64, allowed: &Allowed) -> bool {
-        let open = self.connections.saturating_mul(allowed.streams);
-        self.in_flight < open && (self.in_flight > 0 || now - self.used < allowed.keepalive.as_secs_f64())
+    fn has_room(&self, now: f64, allowed: &Capabilities) -> bool {
+        let open = self.connections.saturating_mul(allowed.max_concurrent_streams);
+        self.in_flight < open
+            && (self.in_flight > 0 || now - self.used < allowed.keepalive_timeout.as_secs_f64())
     }
 
     /// What another attempt would meet: own calls in flight, and a handshake where no connection has room.
     fn cost(&self, now: f64, settings: &Settings) -> f64 {
-        let handshake = settings.prices.handshake > 0.0 && !self.has_room(now, &settings.allowed);
+        let handshake = settings.costs.handshake > 0.0 && !self.has_room(now, &settings.capabilities);
         f64::from(self.in_flight) + if handshake { HANDSHAKE } else { 0.0 }
     }
 }
@@ -508,7 +510,7 @@
 struct Entry {
     class: ClassId,
     /// That of its class when it arrived, or the strictest.
-    effect: Effect,
+    effect: Idempotency,
     tenant: usize,
     /// The time until which an answer is worth waiting for.
     useful_until: f64,
@@ -529,7 +531,7 @@
         for (number, attempt) in (0..).map(AttemptNumber).zip(&mut self.attempts) {
             if Some(number) != keep && attempt.ended.is_none() && !attempt.withdrawn {
                 attempt.withdrawn = true;
-                actions.push(Action::Withdraw { request: id, attempt: number });
+                actions.push(Action::CancelAttempt { request: id, attempt: number });
             }
         }
     }
@@ -597,7 +599,7 @@
     tier_slowness: f64,
     /// Slowness of the kinds of machine measured, and of those of no known kind: what is expected of an upstream
     /// not yet measured.
-    kind_slowness: FxHashMap<Option<KindId>, f64>,
+    kind_slowness: FxHashMap<Option<MachineTypeId>, f64>,
     latencies: Vec<Latency>,
     ledger: Ledger,
     discovery: Discovery,
@@ -640,11 +642,11 @@
     }
 
     /// Takes in an event and adds what is to be done to `actions`.
-    pub fn handle(&mut self, now: Time, event: Event, actions: &mut Vec<Action>) {
+    pub fn handle(&mut self, now: Timestamp, event: Event, actions: &mut Vec<Action>) {
         let now = now.as_secs_f64();
         match event {
             Event::Started => {
-                actions.push(Action::WakeAfter(Duration::from_secs_f64(SWEEP_S)));
+                actions.push(Action::SetTimer(Duration::from_secs_f64(SWEEP_S)));
                 self.list_trust = ListTrust::start(now, self.settings.discovery, &self.settings.rules);
                 self.subscribe(now, actions);
             }
@@ -653,40 +655,40 @@
                 self.subscribe_anew(now, actions);
             }
             Event::SettingsChanged(settings) => self.reconfigure(now, *settings, actions),
-            Event::List(update) => {
-                if matches!(update, ListUpdate::Whole(_) | ListUpdate::Patch(_)) {
+            Event::Discovery(update) => {
+                if matches!(update, DiscoveryUpdate::Full(_) | DiscoveryUpdate::Incremental(_)) {
                     self.discovery = Discovery { subscribed: true, ..Discovery::default() };
                     self.list_trust.confirm();
                 }
                 self.learn_list(now, update, actions);
             }
-            Event::FormerList(update) => self.learn_list(now, update, actions),
+            Event::FormerDiscovery(update) => self.learn_list(now, update, actions),
             Event::Request(request) => self.take(now, request, actions),
-            Event::StreamStarted { request, attempt } => {
+            Event::ResponseStarted { request, attempt } => {
                 let Some(entry) = self.ledger.entries.get_mut(&request) else { return };
                 entry.streaming = true;
-                if self.settings.allowed.cancel {
+                if self.settings.capabilities.cancellation {
                     entry.withdraw(request, Some(attempt), actions);
                 }
             }
             Event::AttemptEnded(ended) => self.attempt_ended(now, ended, actions),
-            Event::ClientLeft(request) => self.close(request, actions),
-            Event::Wake => self.sweep(now, actions),
-            Event::Probed { .. } | Event::Message { .. } => {}
+            Event::RequestAbandoned(request) => self.close(request, actions),
+            Event::TimerFired => self.sweep(now, actions),
+            Event::ProbeEnded { .. } | Event::PeerMessage { .. } => {}
         }
     }
 
     /// Puts new settings in force. What was learned stays, and so do the requests held; settings that cannot succeed
     /// those in force are passed over.
     fn reconfigure(&mut self, now: f64, settings: Settings, actions: &mut Vec<Action>) {
-        if settings.succeeds(&self.settings).is_err() {
+        if settings.validate_replacement_of(&self.settings).is_err() {
             return;
         }
         for entry in self.ledger.entries.values_mut() {
             // A request that began under one rule and goes on under another is repeated under neither.
             let number = entry.class.0;
-            if settings.classes[number].effect != self.settings.classes[number].effect {
-                entry.effect = Effect::Unsafe;
+            if settings.classes[number].idempotency != self.settings.classes[number].idempotency {
+                entry.effect = Idempotency::NonIdempotent;
             }
         }
         // New tenants stand behind the others and before the limit of all.
@@ -704,7 +706,7 @@
             let Subset { first, had, in_flight, .. } = self.subset;
             self.subset = Subset { first, had, in_flight, ..Subset::default() };
         }
-        let other_time = settings.rules.ask_within != self.settings.rules.ask_within;
+        let other_time = settings.rules.max_poll_interval != self.settings.rules.max_poll_interval;
         let asks_anew =
             settings.discovery != self.settings.discovery || (other_time && !self.discovery.subscribed);
         self.list_trust = if settings.discovery == self.settings.discovery {
@@ -728,40 +730,43 @@
 
     fn subscribe(&mut self, now: f64, actions: &mut Vec<Action>) {
         if self.settings.discovery == DiscoveryMode::Subscribe {
-            actions.push(Action::Subscribe);
+            actions.push(Action::SubscribeToDiscovery);
             self.discovery.ask_at = now + self.ask_within();
         }
     }
 
     fn ask_within(&self) -> f64 {
-        self.settings.rules.ask_within.map_or(10.0, |span| span.as_secs_f64()) * ASK_PART
+        self.settings.rules.max_poll_interval.map_or(10.0, |span| span.as_secs_f64()) * ASK_PART
     }
 
-    fn learn_list(&mut self, now: f64, update: ListUpdate, actions: &mut Vec<Action>) {
-        if matches!(update, ListUpdate::Whole(_) | ListUpdate::StaleCopy(_)) {
+    fn learn_list(&mut self, now: f64, update: DiscoveryUpdate, actions: &mut Vec<Action>) {
+        if matches!(update, DiscoveryUpdate::Full(_) | DiscoveryUpdate::Stale(_)) {
             self.upstreams.iter_mut().for_each(|(_, upstream)| upstream.listed = false);
         }
         match update {
-            ListUpdate::Broken | ListUpdate::Silent(_) | ListUpdate::Unreachable => {
+            DiscoveryUpdate::Failed | DiscoveryUpdate::TimedOut(_) | DiscoveryUpdate::Unreachable => {
                 match update {
-                    ListUpdate::Silent(span) => {
+                    DiscoveryUpdate::TimedOut(span) => {
                         self.list_trust.lose_silent(now, span, &self.settings.rules);
                     }
-                    ListUpdate::Unreachable => self.list_trust.find_unreachable(now),
+                    DiscoveryUpdate::Unreachable => self.list_trust.find_unreachable(now),
                     _ => self.list_trust.lose(now, &self.settings.rules),
                 }
                 // Copies whose calls fail together must not come back together; what is pushed counts meanwhile, so
                 // that a watch which stood is opened anew at once, and one that failed before at the next sweep.
-                let at_once = self.discovery.subscribed && self.settings.rules.ask_within.is_none();
+                let at_once = self.discovery.subscribed && self.settings.rules.max_poll_interval.is_none();
                 let most = self.ask_within().max(RESUBSCRIBE_S);
                 let backoff_s = (self.discovery.backoff_s * 2.0).clamp(RESUBSCRIBE_S, most);
-                let part = self.settings.rules.ask_within.map_or(0.0, |_| between(&mut self.rng, (0.5, 1.0)));
+                let part =
+                    self.settings.rules.max_poll_interval.map_or(0.0, |_| between(&mut self.rng, (0.5, 1.0)));
                 self.discovery = Discovery { subscribed: false, ask_at: now + backoff_s * part, backoff_s };
                 if at_once {
                     self.subscribe(now, actions);
                 }
             }
-            ListUpdate::Whole(members) | ListUpdate::StaleCopy(members) | ListUpdate::Patch(members) => {
+            DiscoveryUpdate::Full(members)
+            | DiscoveryUpdate::Stale(members)
+            | DiscoveryUpdate::Incremental(members) => {
                 for member in members {
                     self.learn_member(now, member);
                 }
@@ -773,7 +778,7 @@
     fn learn_member(&mut self, now: f64, member: Member) {
         if let Some(&slot) = self.slots.get(&member.id) {
             let upstream = &mut self.upstreams[slot];
-            let restarted = upstream.member.started != member.started;
+            let restarted = upstream.member.started_at != member.started_at;
             upstream.member = member;
             upstream.listed = member.phase != Phase::Gone;
             if restarted {
@@ -796,7 +801,7 @@
                 self.largest_weight = self.largest_weight.max(upstream.member.weight);
                 self.ready.push(slot);
             } else if upstream.in_flight > 0 {
-                actions.push(Action::AbortConnects { upstream: id });
+                actions.push(Action::AbortPendingConnects { upstream: id });
             } else if !upstream.listed {
                 self.upstreams.remove(slot);
                 return false;
@@ -809,8 +814,8 @@
         self.subset.even = home.len() as f64 / self.ready.len().max(1) as f64;
         // Below the first tier the clients stand where the tier above was spread to.
         self.subset.stay.get_or_insert(if self.settings.tier == 0 { self.subset.even } else { 1.0 });
-        let copies = f64::from(self.settings.copies);
-        self.subset.home.members = arc(&self.settings, copies / self.settings.zones as f64, &home);
+        let copies = f64::from(self.settings.replica_count);
+        self.subset.home.members = arc(&self.settings, copies / self.settings.zone_count as f64, &home);
         self.subset.away.members = arc(&self.settings, copies, &away);
     }
 
@@ -826,14 +831,15 @@
         };
         let tenant = request.tenant.map_or(0, |TenantId(tenant)| tenant);
         let tenant = tenant.min(self.settings.tenants.len().saturating_sub(1));
-        let (aim, deadline) = (now + class.aim.as_secs_f64(), now + request.time_left.as_secs_f64());
+        let (aim, deadline) =
+            (now + class.latency_target.as_secs_f64(), now + request.time_left.as_secs_f64());
         // Where no deadline is passed on, a server's slot would be held for a client long gone.
-        let blind = self.settings.tier > 0 && !self.settings.passes_deadline;
+        let blind = self.settings.tier > 0 && !self.settings.propagates_deadline;
         let entry = Entry {
             class: request.class,
-            effect: class.effect,
+            effect: class.idempotency,
             tenant,
-            useful_until: if class.late_worth > 0.0 && !blind { deadline } else { deadline.min(aim) },
+            useful_until: if class.late_value > 0.0 && !blind { deadline } else { deadline.min(aim) },
             attempts: Vec::new(),
             out: 0,
             closed: false,
@@ -841,13 +847,13 @@
         };
         self.ledger.entries.insert(request.id, entry);
         if !self.admit(now, tenant) {
-            return self.finish(request.id, EndReason::Suppressed, actions);
+            return self.finish(request.id, UnservedReason::Suppressed, actions);
         }
         // Only admitted calls earn further attempts: a storm of denied ones must not pay for them.
         self.ledger.repeats = (self.ledger.repeats + REPEATS.0).min(REPEATS.1);
         self.ledger.reroutes = (self.ledger.reroutes + REROUTES.0).min(REROUTES.1);
         if !self.send_somewhere(now, request.id, actions) {
-            self.finish(request.id, EndReason::NoUpstream, actions);
+            self.finish(request.id, UnservedReason::NoUpstream, actions);
         }
     }
 
@@ -881,7 +887,7 @@
         let entry = self.ledger.entries.get(&id)?;
         let (effect, first) = (entry.effect, entry.first_run());
         if first.is_none()
-            || !matches!(effect, Effect::Keyed { scope: DedupScope::Zone | DedupScope::Cell, .. })
+            || !matches!(effect, Idempotency::Deduplicated { scope: DedupScope::Zone | DedupScope::Cell, .. })
         {
             return self.pick_plain(now, id);
         }
@@ -949,7 +955,7 @@
 
     /// Latency over the usual: its own or, before the first, that of its kind.
     fn slowness(&self, upstream: &Upstream) -> f64 {
-        let kind = || self.kind_slowness.get(&upstream.member.kind).copied().unwrap_or(1.0);
+        let kind = || self.kind_slowness.get(&upstream.member.machine_type).copied().unwrap_or(1.0);
         if upstream.measured > 0.0 { upstream.slowness } else { kind() }
     }
 
@@ -995,15 +1001,17 @@
             || timeout < LEAST_S
             || !upstream.usable()
             || !self.list_trust.holds(now, upstream.proved)
-            || entry.attempts.len() >= self.settings.allowed.attempts as usize
-            || (entry.out > 0 && !self.settings.allowed.second_copies)
+            || entry.attempts.len() >= self.settings.capabilities.max_attempts as usize
+            || (entry.out > 0 && !self.settings.capabilities.hedging)
             || !may_repeat(now, entry.effect, entry.first_run(), &upstream.member)
         {
             return false;
         }
         // A repeat whose connection comes up after the window would run again.
         let start_within = match (entry.effect, entry.first_run()) {
-            (Effect::Keyed { window, .. }, Some(first)) => first.sent + window.as_secs_f64() - now,
+            (Idempotency::Deduplicated { window, .. }, Some(first)) => {
+                first.sent + window.as_secs_f64() - now
+            }
             _ => timeout,
         };
         // Nor may its upstream have begun to drain meanwhile, unheard of.
@@ -1013,7 +1021,7 @@
         if upstream.in_flight == 0 {
             upstream.heard = now;
         }
-        if !upstream.has_room(now, &self.settings.allowed) {
+        if !upstream.has_room(now, &self.settings.capabilities) {
             let open = if upstream.in_flight > 0 { upstream.connections } else { 0 };
             upstream.connections = open + 1;
         }
@@ -1043,15 +1051,18 @@
     }
 
     /// The ONE path that ends a request unserved: refused where that is true, failed otherwise.
-    fn finish(&mut self, id: RequestId, reason: EndReason, actions: &mut Vec<Action>) {
+    fn finish(&mut self, id: RequestId, reason: UnservedReason, actions: &mut Vec<Action>) {
         let Some(entry) = self.ledger.entries.get(&id).filter(|entry| !entry.closed) else { return };
         let harmless = entry.first_run().is_none()
-            || matches!(entry.effect, Effect::Safe | Effect::Keyed { scope: DedupScope::All, .. });
+            || matches!(
+                entry.effect,
+                Idempotency::Idempotent | Idempotency::Deduplicated { scope: DedupScope::All, .. }
+            );
         // Told to stay away past its time, a client never comes back; tries within an aim feed the congestion.
-        let aim = self.settings.classes[entry.class.0].aim;
-        let retry_after = self.settings.allowed.retry_after.map(|most| most.min(aim));
+        let aim = self.settings.classes[entry.class.0].latency_target;
+        let retry_after = self.settings.capabilities.max_retry_after.map(|most| most.min(aim));
         let refusal = Action::Refuse { request: id, retry_after };
-        actions.push(Action::Report(Report::RequestEnded { request: id, reason }));
+        actions.push(Action::Report(Report::RequestUnserved { request: id, reason }));
         actions.push(if harmless { refusal } else { Action::Fail { request: id } });
         self.close(id, actions);
     }
@@ -1060,7 +1071,7 @@
     fn close(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         let Some(entry) = self.ledger.entries.get_mut(&id) else { return };
         entry.closed = true;
-        if self.settings.allowed.cancel && !entry.streaming {
+        if self.settings.capabilities.cancellation && !entry.streaming {
             entry.withdraw(id, None, actions);
         }
         if entry.out == 0 {
@@ -1069,8 +1080,8 @@
     }
 
     fn attempt_ended(&mut self, now: f64, ended: AttemptEnded, actions: &mut Vec<Action>) {
-        let AttemptEnded { request: id, attempt: number, outcome, finished, .. } = ended;
-        let took = ended.took.as_secs_f64();
+        let AttemptEnded { request: id, attempt: number, outcome, request_ended: finished, .. } = ended;
+        let took = ended.duration.as_secs_f64();
         let Some(entry) = self.ledger.entries.get_mut(&id) else { return };
         let attempt = entry.attempts.get_mut(number.0 as usize).filter(|attempt| attempt.ended.is_none());
         let Some(attempt) = attempt else { return };
@@ -1084,7 +1095,7 @@
             upstream.proved = Some(upstream.proved.map_or(attempt.sent, |proved| proved.max(attempt.sent)));
         }
         // By its own time: what was lost before it, on connections or elsewhere, tells nothing of congestion here.
-        let late = took > self.settings.classes[class.0].aim.as_secs_f64();
+        let late = took > self.settings.classes[class.0].latency_target.as_secs_f64();
         let (closed, idle) = (entry.closed || finished, entry.out == 0);
         // Given less time than such calls take, it tells of its short deadline: counted like others, the calls of
         // one tenant with short deadlines would pass for congestion and have all tenants denied.
@@ -1093,14 +1104,14 @@
         self.learn_outcome(now, slot, class, &ended, short_deadline, actions);
         let upstream = &self.upstreams[slot];
         if upstream.ejected_until > now && upstream.in_flight > 0 {
-            actions.push(Action::AbortConnects { upstream: upstream.member.id });
+            actions.push(Action::AbortPendingConnects { upstream: upstream.member.id });
         }
         if closed {
             self.close(id, actions);
         }
         let again = !closed && idle && self.try_again(now, id, outcome, actions);
         if idle && !again {
-            self.finish(id, EndReason::AttemptFailed(outcome), actions);
+            self.finish(id, UnservedReason::AttemptFailed(outcome), actions);
         }
         // A call that was rejected and went elsewhere has met no congestion yet: behind a broken link or one
         // full server the tenant's limit would drop although its calls are served. Refusals by two servers in
@@ -1131,7 +1142,7 @@
         short_deadline: bool,
         actions: &mut Vec<Action>,
     ) {
-        let (outcome, took) = (ended.outcome, ended.took.as_secs_f64());
+        let (outcome, took) = (ended.outcome, ended.duration.as_secs_f64());
         let usual = self.latencies[class.0].seconds();
         let upstream = &mut self.upstreams[slot];
         upstream.in_flight = upstream.in_flight.saturating_sub(1);
@@ -1139,11 +1150,11 @@
         // A connection goes with what broke it and, where it carries one attempt, with an answer given up.
         let given_up = matches!(outcome, Outcome::TimedOut | Outcome::Withdrawn);
         if matches!(outcome, Outcome::ConnectFailed | Outcome::Reset)
-            || (given_up && self.settings.allowed.streams == 1)
+            || (given_up && self.settings.capabilities.max_concurrent_streams == 1)
         {
             upstream.connections = upstream.connections.saturating_sub(1);
         }
-        let aim = self.settings.classes[class.0].aim.as_secs_f64();
+        let aim = self.settings.classes[class.0].latency_target.as_secs_f64();
         if short_deadline || matches!(outcome, Outcome::NotSent | Outcome::Withdrawn) {
             return;
         }
@@ -1163,7 +1174,7 @@
         }
         if usual > 0.0 && matches!(outcome, Outcome::Good | Outcome::TimedOut) {
             let times = (took / usual).min(8.0);
-            let kind = self.kind_slowness.entry(upstream.member.kind).or_insert(1.0);
+            let kind = self.kind_slowness.entry(upstream.member.machine_type).or_insert(1.0);
             if upstream.measured == 0.0 {
                 upstream.slowness = *kind;
             }
@@ -1188,7 +1199,7 @@
         if failed {
             let ejected = self.eject(now, slot, out_of_reach);
             let upstream = self.upstreams[slot].member.id;
-            actions.extend(ejected.map(|span| Action::Report(Report::Ejected { upstream, span })));
+            actions.extend(ejected.map(|span| Action::Report(Report::Ejected { upstream, duration: span })));
         }
     }
 
@@ -1259,18 +1270,18 @@
     /// Ends what still waits for a connection to upstreams that the list no longer vouches for.
     fn watch_trust(&mut self, now: f64, actions: &mut Vec<Action>) {
         if let Some(level) = self.list_trust.level_changed(now) {
-            actions.push(Action::Report(Report::ListTrust(level)));
+            actions.push(Action::Report(Report::ListTrustChanged(level)));
         }
         let waits = |upstream: &&Upstream| {
             upstream.in_flight > 0 && !self.list_trust.holds(now, upstream.proved) && upstream.usable()
         };
         for (_, upstream) in self.upstreams.iter().filter(|(_, upstream)| waits(upstream)) {
-            actions.push(Action::AbortConnects { upstream: upstream.member.id });
+            actions.push(Action::AbortPendingConnects { upstream: upstream.member.id });
         }
     }
 
     fn sweep(&mut self, now: f64, actions: &mut Vec<Action>) {
-        actions.push(Action::WakeAfter(Duration::from_secs_f64(SWEEP_S)));
+        actions.push(Action::SetTimer(Duration::from_secs_f64(SWEEP_S)));
         if !self.discovery.subscribed && now >= self.discovery.ask_at {
             self.subscribe(now, actions);
         }
@@ -1289,7 +1300,7 @@
         let ready = self.ready.len() as f64 / first.unwrap_or(1) as f64;
         let calm = 2.0 * (1.0 - self.congestion / CONGESTED).clamp(0.0, 0.5);
         self.subset.had = (part * ready * (1.0 + SPARE * calm)).clamp(HAD_LEAST, 1.0);
-        self.subset.learn_stay(self.settings.prices.cross_zone, &mut self.rng);
+        self.subset.learn_stay(self.settings.costs.cross_zone, &mut self.rng);
         for group in [&mut self.subset.home, &mut self.subset.away] {
             let warm = |&&slot: &&usize| self.upstreams[slot].warmth(now, &self.settings) >= 1.0;
             let warm = group.members.iter().filter(warm).count();
@@ -1313,12 +1324,12 @@
 }
 
 /// Whether the rules on effects let a request out again to `member`.
-fn may_repeat(now: f64, effect: Effect, first_run: Option<&Attempt>, member: &Member) -> bool {
+fn may_repeat(now: f64, effect: Idempotency, first_run: Option<&Attempt>, member: &Member) -> bool {
     let Some(first) = first_run else { return true };
     match effect {
-        Effect::Safe => true,
-        Effect::Unsafe => false,
-        Effect::Keyed { scope, window } => {
+        Idempotency::Idempotent => true,
+        Idempotency::NonIdempotent => false,
+        Idempotency::Deduplicated { scope, window } => {
             now - first.sent <= window.as_secs_f64()
                 && match scope {
                     DedupScope::All => true,
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -1,7 +1,7 @@
-//! What a [`Balancer`](crate::Balancer) is told and what it asks for: settings, events and actions.
+//! The inputs and outputs of a [`Balancer`](crate::Balancer): settings, events and actions.
 //!
-//! Nothing here decides anything. Identifiers are small integers that the embedding program gives
-//! out; a class, tenant or zone is named by its position in the [`Settings`].
+//! This module contains no decisions. Identifiers are small integers assigned by the embedding program; a
+//! class, tenant or zone is identified by its index in the [`Settings`].
 
 use std::time::Duration;
 
@@ -9,542 +9,557 @@
 
 use crate::report::Report;
 
-/// A point in time: the time since any fixed moment of the embedding program's clock.
-pub type Time = Duration;
+/// A point in time, as the time since a fixed moment of the embedding program's clock.
+pub type Timestamp = Duration;
 
-/// Names a request; never used again once the request has ended and its attempts are over.
+/// Identifies a request; not reused after the request and all its attempts have ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct RequestId(pub u64);
 
-/// Names an upstream; the same at every copy.
+/// Identifies an upstream; the same in every replica of the balancer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct UpstreamId(pub u32);
 
-/// Position of a class in [`Settings::classes`].
+/// Index of a class in [`Settings::classes`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct ClassId(pub usize);
 
-/// Position of a tenant in [`Settings::tenants`].
+/// Index of a tenant in [`Settings::tenants`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct TenantId(pub usize);
 
-/// Position of a zone among [`Settings::zones`].
+/// Index of a zone, below [`Settings::zone_count`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct ZoneId(pub usize);
 
-/// Position of a kind of machine among those the embedding program knows.
+/// Index of a machine type, below [`Settings::machine_type_count`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub struct KindId(pub usize);
+pub struct MachineTypeId(pub usize);
 
-/// Number of an attempt of a request, from 0 in the order sent.
+/// Number of an attempt within its request, counted from 0 in the order of sending.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct AttemptNumber(pub u32);
 
-/// The group of upstreams that discard repeats of a keyed request.
+/// The group of upstreams that share their record of idempotency keys and so discard duplicates of a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum DedupScope {
-    /// All upstreams share what they remember.
+    /// All upstreams share one record.
     All,
-    /// Those of one zone do.
+    /// The upstreams of a zone share one record.
     Zone,
-    /// Those of one cell do.
+    /// The upstreams of a cell share one record.
     Cell,
 }
 
-/// How often a request's effect may happen.
+/// Whether the requests of a class may be executed more than once.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub enum Effect {
-    /// Repeating does no harm.
-    Safe,
-    /// Repeats carry a key, and a group of upstreams discards them for a while.
-    Keyed {
-        /// The upstreams that discard repeats.
+pub enum Idempotency {
+    /// Executing a request repeatedly does no harm.
+    Idempotent,
+    /// Requests carry an idempotency key by which a group of upstreams discards duplicates for a limited
+    /// time.
+    Deduplicated {
+        /// The upstreams that discard duplicates.
         scope: DedupScope,
-        /// For how long after the first attempt that may have run.
+        /// How long duplicates are discarded after the first attempt that may have been executed.
         window: Duration,
     },
-    /// Must never run twice.
-    Unsafe,
+    /// A request must never be executed twice.
+    NonIdempotent,
 }
 
-/// A class of requests.
+/// A class of requests with common latency targets and idempotency.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Class {
-    /// Answers within this time earn the full worth.
-    pub aim: Duration,
-    /// How long a client waits in all.
+    /// Responses within this time earn the full value (soft deadline).
+    pub latency_target: Duration,
+    /// How long a client waits in total (hard deadline).
     pub deadline: Duration,
-    /// The fraction of the worth that an answer after the aim still earns, 0 to 1.
-    pub late_worth: f64,
-    /// What may be repeated.
-    pub effect: Effect,
+    /// The fraction of its value that a response after the latency target still earns, 0 to 1.
+    pub late_value: f64,
+    /// Whether its requests may be executed more than once.
+    pub idempotency: Idempotency,
 }
 
-/// A tenant and its share.
+/// A tenant and its quota.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Tenant {
-    /// Requests a second over all copies that lie inside its share; `None` if not told.
+    /// Requests per second over all replicas that are within its quota; `None` if the quota is unknown.
     pub quota: Option<f64>,
 }
 
-/// How the list of upstreams is had.
+/// How the balancer receives the list of upstreams.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum DiscoveryMode {
-    /// Changes come by themselves.
+    /// Discovery sends changes to every replica without a subscription.
     Push,
-    /// Changes come only to a copy that has subscribed.
+    /// Discovery sends changes only to replicas that have subscribed.
     Subscribe,
 }
 
-/// What the site allows.
+/// What the site supports and permits.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Allowed {
-    /// Attempts a request may have in all.
-    pub attempts: u32,
-    /// A second attempt may be out while the first still is.
-    pub second_copies: bool,
-    /// Attempts may be withdrawn.
-    pub cancel: bool,
-    /// Health checks may be sent.
+pub struct Capabilities {
+    /// Maximum number of attempts per request, the first included.
+    pub max_attempts: u32,
+    /// Whether hedged requests are permitted: a second attempt while the first is still in flight.
+    pub hedging: bool,
+    /// Whether attempts in flight may be cancelled.
+    pub cancellation: bool,
+    /// Whether health checks may be sent.
     pub probes: bool,
-    /// Copies may send each other messages.
-    pub messages: bool,
-    /// Idle connections are closed after this.
-    pub keepalive: Duration,
-    /// Attempts that one connection can carry together.
-    pub streams: u32,
-    /// The longest stay-away advice that clients honour; `None` if they get none.
-    pub retry_after: Option<Duration>,
+    /// Whether replicas of the balancer may send each other messages.
+    pub peer_messages: bool,
+    /// Connections that have been idle for this long are closed.
+    pub keepalive_timeout: Duration,
+    /// Maximum number of concurrent attempts on one connection.
+    pub max_concurrent_streams: u32,
+    /// The longest retry-after time that clients honour; `None` if clients are not given any.
+    pub max_retry_after: Option<Duration>,
 }
 
-/// Figures of the four rules.
+/// Parameters of the rules that the site enforces on the balancer: deadlines, drains, discovery and slow
+/// start.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Rules {
-    /// Time past the client's deadline in which a final answer still counts.
-    pub answer_slack: Duration,
-    /// Time within which sends to a draining or gone upstream must end.
+    /// Time after the client's deadline within which a final answer still counts.
+    pub deadline_grace: Duration,
+    /// Time after an upstream is known to drain or to be gone within which sends to it must end.
     pub drain_grace: Duration,
-    /// A copy without a subscription must ask at least this often; `None` if lists are pushed, and count as told
-    /// also while it has none.
-    pub ask_within: Option<Duration>,
-    /// The least fraction of its capacity with which an upstream starts, above 0 and up to 1.
-    pub cold_share: f64,
-    /// A started upstream is warm after this at the latest.
-    pub cold_time: Duration,
-    /// Sent more than this many times its present capacity, a cold upstream falls over ...
-    pub overload_multiple: f64,
-    /// ... when it goes on for this long.
-    pub overload_window: Duration,
+    /// The longest time that a replica without a subscription may go without asking discovery; `None` if
+    /// lists are pushed, in which case they count as delivered even while the replica has no subscription.
+    pub max_poll_interval: Option<Duration>,
+    /// The minimum fraction of its capacity that an upstream has right after its start, above 0 and up to 1.
+    pub slow_start_min_fraction: f64,
+    /// Time after its start at which an upstream has reached its full capacity at the latest.
+    pub slow_start_duration: Duration,
+    /// An upstream in slow start fails under overload if it is sent more than this many times its present
+    /// capacity ...
+    pub overload_factor: f64,
+    /// ... for this long.
+    pub overload_duration: Duration,
 }
 
-/// Prices that bear on choices, in worth of one request of full worth.
+/// Costs to weigh when choosing an upstream, relative to the value of one request served in full.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Prices {
-    /// An attempt that crosses zones.
+pub struct Costs {
+    /// An attempt that is sent to another zone.
     pub cross_zone: f64,
-    /// The work of one request wasted.
-    pub waste: f64,
-    /// A request that ends unserved after its aim.
+    /// The work of one request that is done for nothing.
+    pub wasted_work: f64,
+    /// A request that ends unserved after its latency target.
     pub late_failure: f64,
-    /// A connection opened.
+    /// Opening a connection.
     pub handshake: f64,
     /// A health check.
     pub probe: f64,
 }
 
-/// What a copy is told at its start, and anew when it changes.
+/// The settings of one replica of the balancer, given at its start and replaced by
+/// [`Event::SettingsChanged`].
 #[derive(Debug, Clone, PartialEq)]
 pub struct Settings {
-    /// This copy's number, from 0.
-    pub index: u32,
-    /// How many copies send to this tier.
-    pub copies: u32,
-    /// The tier sent to, 0 for the one that clients reach.
+    /// This replica's index, from 0.
+    pub replica_index: u32,
+    /// Number of replicas that send to the same tier.
+    pub replica_count: u32,
+    /// The tier that requests are sent to; 0 is the tier that serves external clients.
     pub tier: usize,
-    /// This copy's zone.
+    /// This replica's zone.
     pub zone: ZoneId,
-    /// How many zones there are.
-    pub zones: usize,
-    /// How many kinds of machine there are.
-    pub kinds: usize,
+    /// Number of zones.
+    pub zone_count: usize,
+    /// Number of machine types.
+    pub machine_type_count: usize,
     /// The classes of requests, at least one.
     pub classes: Vec<Class>,
     /// The tenants; may be empty.
     pub tenants: Vec<Tenant>,
-    /// The part of its worth that a request keeps beyond its tenant's share.
-    pub over_share_worth: f64,
-    /// How lists come.
+    /// The fraction of its value that a request beyond its tenant's quota still has, 0 to 1.
+    pub over_quota_value: f64,
+    /// How the list of upstreams is received.
     pub discovery: DiscoveryMode,
-    /// Calls from tier to tier carry the time that the client has left.
-    pub passes_deadline: bool,
-    /// What the site allows.
-    pub allowed: Allowed,
-    /// Figures of the rules.
+    /// Whether calls from tier to tier carry the time remaining until the client's deadline.
+    pub propagates_deadline: bool,
+    /// What the site supports and permits.
+    pub capabilities: Capabilities,
+    /// Parameters of the rules that the site enforces.
     pub rules: Rules,
-    /// Prices.
-    pub prices: Prices,
+    /// Costs to weigh when choosing an upstream.
+    pub costs: Costs,
 }
 
-/// Why [`Settings`] make no sense.
+/// Why [`Settings`] are invalid.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 pub enum SettingsError {
-    /// There is no class.
+    /// The list of classes is empty.
     #[error("there is no class of requests")]
-    NoClass,
-    /// There is no zone, or the copy's own is not among them.
-    #[error("the zone of this copy is not among the zones")]
+    NoClasses,
+    /// The replica's own zone is not one of the zones, or there are none.
+    #[error("the zone of this replica is not among the zones")]
     UnknownZone,
-    /// The number of copies is 0.
-    #[error("the number of copies is 0")]
-    NoCopies,
-    /// No attempt is allowed.
-    #[error("no attempt is allowed")]
+    /// The number of replicas is 0.
+    #[error("the number of replicas is 0")]
+    NoReplicas,
+    /// The maximum number of attempts is 0.
+    #[error("the maximum number of attempts is 0")]
     NoAttempts,
-    /// A class's aim or deadline is 0, or the aim lies past the deadline.
-    #[error("class {0}: the aim and the deadline must be above 0, the aim not past the deadline")]
-    ClassTimes(usize),
-    /// Positions that were given out are missing from settings that are to succeed others.
-    #[error("{0} are missing that the settings in force name")]
-    Fewer(&'static str),
-    /// A fraction or a figure lies outside its range.
+    /// A class's latency target or deadline is 0, or the target is after the deadline; holds the class's
+    /// index.
+    #[error("class {0}: latency target and deadline must be above 0, and the target not after the deadline")]
+    InvalidClassTimes(usize),
+    /// A replacement has fewer entries of a kind than the settings in force, so indices in use would be
+    /// invalid.
+    #[error("{0} of the settings in force are missing from the replacement")]
+    MissingEntries(&'static str),
+    /// The named value is outside its valid range.
     #[error("{0} is out of range")]
     OutOfRange(&'static str),
 }
 
 impl Settings {
-    /// Settings of a lone copy in a single zone, with common rules and no tenants; change what
-    /// differs.
+    /// Settings of a single replica in a single zone, with default rules and no tenants; change the fields
+    /// that differ.
     #[must_use]
     pub fn single_zone(classes: Vec<Class>) -> Self {
         Self {
-            index: 0,
-            copies: 1,
+            replica_index: 0,
+            replica_count: 1,
             tier: 0,
             zone: ZoneId(0),
-            zones: 1,
-            kinds: 1,
+            zone_count: 1,
+            machine_type_count: 1,
             classes,
             tenants: Vec::new(),
-            over_share_worth: 1.0,
+            over_quota_value: 1.0,
             discovery: DiscoveryMode::Push,
-            passes_deadline: true,
-            allowed: Allowed {
-                attempts: 3,
-                second_copies: false,
-                cancel: true,
+            propagates_deadline: true,
+            capabilities: Capabilities {
+                max_attempts: 3,
+                hedging: false,
+                cancellation: true,
                 probes: false,
-                messages: false,
-                keepalive: Duration::from_secs(15),
-                streams: 100,
-                retry_after: None,
+                peer_messages: false,
+                keepalive_timeout: Duration::from_secs(15),
+                max_concurrent_streams: 100,
+                max_retry_after: None,
             },
             rules: Rules {
-                answer_slack: Duration::from_millis(20),
+                deadline_grace: Duration::from_millis(20),
                 drain_grace: Duration::from_secs(1),
-                ask_within: None,
-                cold_share: 0.1,
-                cold_time: Duration::from_secs(30),
-                overload_multiple: 3.0,
-                overload_window: Duration::from_secs(2),
+                max_poll_interval: None,
+                slow_start_min_fraction: 0.1,
+                slow_start_duration: Duration::from_secs(30),
+                overload_factor: 3.0,
+                overload_duration: Duration::from_secs(2),
             },
-            prices: Prices { cross_zone: 0.0, waste: 0.0, late_failure: 0.0, handshake: 0.0, probe: 0.0 },
+            costs: Costs { cross_zone: 0.0, wasted_work: 0.0, late_failure: 0.0, handshake: 0.0, probe: 0.0 },
         }
     }
 
-    /// Checks that the settings make sense.
+    /// Checks that the settings are valid.
     ///
     /// # Errors
-    /// The first thing found wrong.
+    /// The first invalid value found.
     pub fn validate(&self) -> Result<(), SettingsError> {
         if self.classes.is_empty() {
-            return Err(SettingsError::NoClass);
+            return Err(SettingsError::NoClasses);
         }
-        if self.zone.0 >= self.zones {
+        if self.zone.0 >= self.zone_count {
             return Err(SettingsError::UnknownZone);
         }
-        if self.copies == 0 {
-            return Err(SettingsError::NoCopies);
+        if self.replica_count == 0 {
+            return Err(SettingsError::NoReplicas);
         }
-        if self.allowed.attempts == 0 {
+        if self.capabilities.max_attempts == 0 {
             return Err(SettingsError::NoAttempts);
         }
-        if self.allowed.streams == 0 {
-            return Err(SettingsError::OutOfRange("streams"));
+        if self.capabilities.max_concurrent_streams == 0 {
+            return Err(SettingsError::OutOfRange("max concurrent streams"));
         }
-        for (number, class) in self.classes.iter().enumerate() {
-            if class.aim.is_zero() || class.aim > class.deadline {
-                return Err(SettingsError::ClassTimes(number));
+        for (index, class) in self.classes.iter().enumerate() {
+            if class.latency_target.is_zero() || class.latency_target > class.deadline {
+                return Err(SettingsError::InvalidClassTimes(index));
             }
-            in_range(class.late_worth, 0.0, 1.0, "late worth")?;
+            check_range(class.late_value, 0.0, 1.0, "late value")?;
         }
         for quota in self.tenants.iter().filter_map(|tenant| tenant.quota) {
-            in_range(quota, 0.0, 1e12, "quota")?;
+            check_range(quota, 0.0, 1e12, "quota")?;
         }
-        in_range(self.over_share_worth, 0.0, 1.0, "over-share worth")?;
-        in_range(self.rules.cold_share, f64::MIN_POSITIVE, 1.0, "cold share")?;
-        in_range(self.rules.overload_multiple, f64::MIN_POSITIVE, 1e6, "overload multiple")?;
-        let Prices { cross_zone, waste, late_failure, handshake, probe } = self.prices;
-        for price in [cross_zone, waste, late_failure, handshake, probe] {
-            in_range(price, 0.0, 1e6, "price")?;
+        check_range(self.over_quota_value, 0.0, 1.0, "over-quota value")?;
+        check_range(
+            self.rules.slow_start_min_fraction,
+            f64::MIN_POSITIVE,
+            1.0,
+            "slow start minimum fraction",
+        )?;
+        check_range(self.rules.overload_factor, f64::MIN_POSITIVE, 1e6, "overload factor")?;
+        let Costs { cross_zone, wasted_work, late_failure, handshake, probe } = self.costs;
+        for cost in [cross_zone, wasted_work, late_failure, handshake, probe] {
+            check_range(cost, 0.0, 1e6, "cost")?;
         }
         Ok(())
     }
 }
 
 impl Settings {
-    /// Checks that these settings can be put in force in place of `old` while the copy runs: the positions of
-    /// classes, tenants, zones and kinds go on, new ones are appended. One that is no longer used keeps its place; a
-    /// tenant then has a quota of 0.
+    /// Checks that these settings can replace `current` while the replica runs: classes, tenants, zones and
+    /// machine types keep their indices, and new ones are appended. An entry that is no longer used keeps its
+    /// index; such a tenant then has a quota of 0.
     ///
     /// # Errors
-    /// The settings make no sense, or positions are missing.
-    pub fn succeeds(&self, old: &Self) -> Result<(), SettingsError> {
+    /// The settings are invalid, or entries of `current` are missing.
+    pub fn validate_replacement_of(&self, current: &Self) -> Result<(), SettingsError> {
         self.validate()?;
         let counts = [
-            ("classes", self.classes.len(), old.classes.len()),
-            ("tenants", self.tenants.len(), old.tenants.len()),
-            ("zones", self.zones, old.zones),
-            ("kinds", self.kinds, old.kinds),
+            ("classes", self.classes.len(), current.classes.len()),
+            ("tenants", self.tenants.len(), current.tenants.len()),
+            ("zones", self.zone_count, current.zone_count),
+            ("machine types", self.machine_type_count, current.machine_type_count),
         ];
-        let missing = counts.into_iter().find(|(_, new, old)| new < old);
-        missing.map_or(Ok(()), |(name, ..)| Err(SettingsError::Fewer(name)))
+        let missing = counts.into_iter().find(|(_, new, current)| new < current);
+        missing.map_or(Ok(()), |(name, ..)| Err(SettingsError::MissingEntries(name)))
     }
 }
 
-fn in_range(value: f64, low: f64, high: f64, name: &'static str) -> Result<(), SettingsError> {
-    if (low..=high).contains(&value) { Ok(()) } else { Err(SettingsError::OutOfRange(name)) }
+fn check_range(value: f64, min: f64, max: f64, name: &'static str) -> Result<(), SettingsError> {
+    if (min..=max).contains(&value) { Ok(()) } else { Err(SettingsError::OutOfRange(name)) }
 }
 
-/// What discovery says of an upstream's process.
+/// The state of an upstream's process as discovery reports it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Phase {
-    /// It runs.
+    /// It is running and accepts requests.
     Ready,
-    /// It finishes its work and takes nothing new.
+    /// It finishes its requests in flight and accepts no new ones.
     Draining,
-    /// It was removed.
+    /// It has been removed.
     Gone,
 }
 
-/// One upstream of a list.
+/// An upstream as listed by discovery.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Member {
-    /// The upstream.
+    /// The upstream's id.
     pub id: UpstreamId,
-    /// Its zone; `None` for one that the settings do not name.
+    /// Its zone; `None` if the settings do not contain it.
     pub zone: Option<ZoneId>,
-    /// Its kind of machine; `None` for one that the settings do not name.
-    pub kind: Option<KindId>,
-    /// Its cell, for keyed classes whose group is the cell.
+    /// Its machine type; `None` if the settings do not contain it.
+    pub machine_type: Option<MachineTypeId>,
+    /// Its cell, which matters for classes that are deduplicated per cell.
     pub cell: u32,
-    /// Its phase.
+    /// The state of its process.
     pub phase: Phase,
-    /// Its size beside the others; 1 where sizes are not told.
+    /// Its capacity relative to other upstreams; 1 if discovery does not report capacities.
     pub weight: f64,
-    /// The time of its latest start; `None` for long ago.
-    pub started: Option<Time>,
+    /// When its process last started; `None` if that was long ago.
+    pub started_at: Option<Timestamp>,
 }
 
-/// A word from discovery.
+/// An update of the list of upstreams, or the failure to get one.
 #[derive(Debug, Clone, PartialEq)]
-pub enum ListUpdate {
-    /// The whole list: what is absent has been removed.
-    Whole(Vec<Member>),
-    /// The whole list as the copy last had it, maybe old.
-    StaleCopy(Vec<Member>),
-    /// Changed entries only.
-    Patch(Vec<Member>),
-    /// The question failed or the subscription broke; the old list stands.
-    Broken,
-    /// The subscription has said nothing for this long and was given up; the old list stands.
-    Silent(Duration),
-    /// Nobody listens where discovery is: it is down. The old list stands.
+pub enum DiscoveryUpdate {
+    /// The full list: upstreams that are absent have been removed.
+    Full(Vec<Member>),
+    /// A full list from a cache that may be outdated, such as the last list that the replica knew. It is
+    /// applied like [`Self::Full`], but does not show that a subscription is up.
+    Stale(Vec<Member>),
+    /// Only the entries that have changed.
+    Incremental(Vec<Member>),
+    /// A call to discovery failed or the subscription broke; the current list remains.
+    Failed,
+    /// The subscription was given up after it had delivered nothing for this long; the current list remains.
+    TimedOut(Duration),
+    /// Nothing accepts connections at discovery's address: it is down. The current list remains.
     Unreachable,
 }
 
 /// How an attempt ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Outcome {
-    /// Served.
+    /// The upstream served it.
     Good,
-    /// Answered with an error; it may have run.
+    /// The upstream answered with an error; it may have been executed.
     Error,
-    /// Rejected unseen; it never ran.
+    /// The upstream rejected it without looking at it; it was never executed.
     Refused,
-    /// No answer in time; it may have run or still run.
+    /// There was no answer in time; it may have been executed or still be running.
     TimedOut,
-    /// No connection; it never ran.
+    /// No connection could be opened; it was never executed.
     ConnectFailed,
-    /// The connection broke; it may have run.
+    /// The connection broke; it may have been executed.
     Reset,
-    /// Withdrawn; it may have run.
+    /// The balancer cancelled it; it may have been executed.
     Withdrawn,
-    /// Never sent.
+    /// It was never sent.
     NotSent,
 }
 
 impl Outcome {
-    /// Whether this outcome proves that the attempt never ran.
+    /// Whether this outcome proves that the attempt was never executed.
     #[must_use]
     pub fn never_ran(self) -> bool {
         matches!(self, Self::Refused | Self::ConnectFailed | Self::NotSent)
     }
 }
 
-/// A load report that came with an answer; fields that the site does not report are `None`.
+/// An upstream's load, as reported with an answer; values that the site does not report are `None`.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
 pub struct LoadReport {
-    /// Requests being handled.
-    pub active: Option<f64>,
-    /// Requests waiting.
-    pub waiting: Option<f64>,
+    /// Number of requests being processed.
+    pub active_requests: Option<f64>,
+    /// Number of requests waiting in the upstream's queue.
+    pub queued_requests: Option<f64>,
     /// Fraction of the processor in use.
     pub utilization: Option<f64>,
-    /// How long serving took lately, waiting not counted.
-    pub latency: Option<Duration>,
-    /// Requests served a second.
-    pub rate: Option<f64>,
-    /// Errors a second.
+    /// Recent mean time to serve a request, without the time spent in the queue.
+    pub service_time: Option<Duration>,
+    /// Requests served per second.
+    pub request_rate: Option<f64>,
+    /// Errors per second.
     pub error_rate: Option<f64>,
 }
 
-/// A request taken by the copy.
+/// A request that the replica has received from a client.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Request {
-    /// The request.
+    /// The request's id.
     pub id: RequestId,
     /// Its class.
     pub class: ClassId,
     /// Its tenant, if it has one.
     pub tenant: Option<TenantId>,
-    /// The subject of the request, where requests carry one.
-    pub key: Option<u64>,
-    /// How long the client still waits.
+    /// Identifies the resource that the request is about, if the site's requests carry such a key.
+    pub resource_key: Option<u64>,
+    /// How much longer the client waits.
     pub time_left: Duration,
-    /// The work expected, as time on a standard core, where it is told.
+    /// The work it is expected to take, as time on a standard core, if known.
     pub expected_work: Option<Duration>,
-    /// The client has marked it as a repeat.
-    pub repeat: bool,
+    /// Whether the client has marked it as a retry.
+    pub is_retry: bool,
 }
 
 /// The end of an attempt.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct AttemptEnded {
-    /// The request.
+    /// The request that the attempt belongs to.
     pub request: RequestId,
-    /// The attempt.
+    /// The attempt's number within the request.
     pub attempt: AttemptNumber,
     /// How it ended.
     pub outcome: Outcome,
-    /// How long it took; over sockets from when its connection was up, if it was.
-    pub took: Duration,
-    /// The request has ended with it, or before.
-    pub finished: bool,
-    /// The upstream's load report, if one came.
+    /// How long it took; on real sockets counted from when its connection was open, if it was.
+    pub duration: Duration,
+    /// Whether the request has ended, with this attempt or before.
+    pub request_ended: bool,
+    /// The upstream's load report, if the answer carried one.
     pub load: Option<LoadReport>,
 }
 
-/// What happens to a copy.
+/// An input to the [`Balancer`](crate::Balancer).
 #[derive(Debug, Clone, PartialEq)]
 pub enum Event {
-    /// The copy has started; it may ask for the list.
+    /// The replica has started and may subscribe to discovery.
     Started,
-    /// Discovery has spoken.
-    List(ListUpdate),
-    /// Discovery has spoken where it was before it moved: what it says holds, but confirms nothing.
-    FormerList(ListUpdate),
-    /// Discovery is to be had elsewhere from now on: a subscription where it was is about to end.
+    /// Discovery has sent an update, or could not be asked.
+    Discovery(DiscoveryUpdate),
+    /// An update from discovery's former address, after [`Self::DiscoveryMoved`]: it is applied, but does not
+    /// confirm the list.
+    FormerDiscovery(DiscoveryUpdate),
+    /// Discovery has a new address from now on; the subscription at the former one is about to end.
     DiscoveryMoved,
-    /// New settings are in force from now on; ignored unless they succeed those before, see [`Settings::succeeds`].
-    /// Requests held go on with the time that they were given; no rule on their effects is loosened for them.
+    /// New settings take effect; ignored unless [`Settings::validate_replacement_of`] accepts them. Pending
+    /// requests keep the deadline that they were given, and the idempotency rules are never relaxed for them.
     SettingsChanged(Box<Settings>),
-    /// A request was taken.
+    /// A client's request has been received.
     Request(Request),
-    /// A streamed answer has begun: the attempt belongs to the client now.
-    StreamStarted {
-        /// The request.
+    /// An upstream has begun a streamed response, which is passed on to the client: from now on the request
+    /// is bound to this attempt.
+    ResponseStarted {
+        /// The request that is answered.
         request: RequestId,
-        /// The attempt that answers.
+        /// The attempt that answers it.
         attempt: AttemptNumber,
     },
-    /// An attempt is over.
+    /// An attempt has ended.
     AttemptEnded(AttemptEnded),
-    /// The client has left, or the final answer is overdue: nothing more is owed.
-    ClientLeft(RequestId),
-    /// The sweep asked for by [`Action::WakeAfter`] is due.
-    Wake,
-    /// The result of a health check.
-    Probed {
-        /// The upstream.
+    /// The client has disconnected, or the final answer is overdue: the request needs no answer any more.
+    RequestAbandoned(RequestId),
+    /// The timer set by [`Action::SetTimer`] has expired.
+    TimerFired,
+    /// A health check has ended.
+    ProbeEnded {
+        /// The upstream that was checked.
         upstream: UpstreamId,
-        /// How it ended.
+        /// How the health check ended.
         outcome: Outcome,
         /// How long it took.
-        took: Duration,
-        /// The upstream's load report, if one came.
+        duration: Duration,
+        /// The upstream's load report, if the answer carried one.
         load: Option<LoadReport>,
     },
-    /// Another copy has sent a message.
-    Message {
-        /// The sender's number.
-        from: u32,
-        /// What it sent.
-        content: Vec<u8>,
+    /// Another replica has sent a message.
+    PeerMessage {
+        /// The index of the replica that sent it.
+        sender: u32,
+        /// The bytes of the message.
+        payload: Vec<u8>,
     },
 }
 
-/// What a copy asks for.
+/// An output of the [`Balancer`](crate::Balancer), which the embedding program carries out.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Action {
-    /// Send the request to an upstream. Attempts are numbered from 0 in the order sent.
+    /// Send an attempt of a request to an upstream. Attempts of a request are numbered from 0 in the order
+    /// sent.
     Send {
-        /// The request.
+        /// The request to send.
         request: RequestId,
-        /// Where to.
+        /// The upstream to send it to.
         upstream: UpstreamId,
-        /// Give the attempt up after this long; `None` for as long as the client waits.
+        /// Give up the attempt after this long; `None` for as long as the client waits.
         timeout: Option<Duration>,
-        /// Past this it must not go out any more, should its connection come up later.
+        /// Do not send the request later than this, in case the connection takes longer to open.
         start_within: Duration,
     },
-    /// Stop waiting on an attempt; its end is still reported.
-    Withdraw {
-        /// The request.
+    /// Stop waiting for an attempt; its end must still be reported.
+    CancelAttempt {
+        /// The request that the attempt belongs to.
         request: RequestId,
-        /// The attempt.
+        /// The attempt to cancel.
         attempt: AttemptNumber,
     },
-    /// End the request unserved: the client may safely come again.
+    /// End the request unserved, with an answer that says that the client may safely retry.
     Refuse {
-        /// The request.
+        /// The request to end.
         request: RequestId,
-        /// How long the client should stay away.
+        /// How long the client should wait before it retries, if it is told.
         retry_after: Option<Duration>,
     },
-    /// End the request as failed: nothing is said of its effect.
+    /// End the request unserved, without saying whether it was executed.
     Fail {
-        /// The request.
+        /// The request to end.
         request: RequestId,
     },
-    /// Open a standing subscription to the list.
-    Subscribe,
-    /// Send a health check; its result comes as [`Event::Probed`].
+    /// Open a lasting subscription to discovery's list of upstreams.
+    SubscribeToDiscovery,
+    /// Send a health check; report its result as [`Event::ProbeEnded`].
     Probe {
-        /// The upstream.
+        /// The upstream to check.
         upstream: UpstreamId,
     },
-    /// End the attempts whose connection to an upstream is still coming up, as [`Outcome::ConnectFailed`].
-    AbortConnects {
-        /// The upstream.
+    /// End all attempts whose connection to an upstream is not open yet, with [`Outcome::ConnectFailed`].
+    AbortPendingConnects {
+        /// The upstream that connections are being opened to.
         upstream: UpstreamId,
     },
     /// Close the idle connections to an upstream.
-    DropIdle {
-        /// The upstream.
+    CloseIdleConnections {
+        /// The upstream that the connections lead to.
         upstream: UpstreamId,
     },
-    /// Deliver [`Event::Wake`] after this long.
-    WakeAfter(Duration),
-    /// Tell the operator of a decision.
+    /// Deliver [`Event::TimerFired`] after this long.
+    SetTimer(Duration),
+    /// Log or count a decision for the operator.
     Report(Report),
 }
--- a/src/list_trust.rs
+++ b/src/list_trust.rs
@@ -91,7 +91,7 @@
             State::Confirmed => {
                 let told = now + TOLD_S + self.grace_s;
                 // Only where copies ask does an end stand for a change.
-                let asks = rules.ask_within.is_some();
+                let asks = rules.max_poll_interval.is_some();
                 let until = if asks { now + TOLD_AFTER_END_S + self.grace_s } else { told };
                 State::Unconfirmed { until, until_if_failed: told, proofs_count: !asks }
             }
--- a/src/report.rs
+++ b/src/report.rs
@@ -1,4 +1,4 @@
-//! What a copy tells its operator of its decisions: facts for logs and metrics, which ask for nothing.
+//! Facts about decisions for the operator's logs and metrics; they ask for no action.
 
 use std::time::Duration;
 
@@ -6,21 +6,21 @@
 
 /// Why a request was ended unserved.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum EndReason {
-    /// The rate limits let no more calls through.
+pub enum UnservedReason {
+    /// The rate limits did not admit it.
     Suppressed,
-    /// No upstream may be sent to.
+    /// No upstream could be sent to.
     NoUpstream,
-    /// The last attempt ended so, and there is no further one.
+    /// The last attempt ended with this outcome, and no further attempt was made.
     AttemptFailed(Outcome),
 }
 
-/// How far the list of upstreams is relied on.
+/// To what extent the list of upstreams is trusted.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum TrustLevel {
-    /// A subscription confirms it.
+    /// A subscription confirms the list.
     Confirmed,
-    /// No subscription does, but no change can count as told yet.
+    /// No subscription confirms the list, but no change can count as delivered yet.
     Held,
     /// Only upstreams that have just accepted a request are used.
     Proved,
@@ -28,23 +28,23 @@
     Expired,
 }
 
-/// A fact for the operator.
+/// A decision that is reported to the operator.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Report {
     /// A request is about to be refused or failed.
-    RequestEnded {
-        /// The request.
+    RequestUnserved {
+        /// The request that ends unserved.
         request: RequestId,
-        /// Why.
-        reason: EndReason,
+        /// Why it ends unserved.
+        reason: UnservedReason,
     },
-    /// The list is relied on in another way.
-    ListTrust(TrustLevel),
-    /// An upstream that fails is left out for a while.
+    /// The trust in the list of upstreams has changed to this level.
+    ListTrustChanged(TrustLevel),
+    /// A failing upstream is excluded from selection for a while.
     Ejected {
-        /// The upstream.
+        /// The upstream that is ejected.
         upstream: UpstreamId,
-        /// For how long.
-        span: Duration,
+        /// How long it is ejected for.
+        duration: Duration,
     },
 }
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -13,19 +13,19 @@
     Duration::from_millis(span)
 }
 
-pub fn class(effect: Effect) -> Class {
-    Class { aim: millis(1000), deadline: millis(3000), late_worth: 0.0, effect }
+pub fn class(effect: Idempotency) -> Class {
+    Class { latency_target: millis(1000), deadline: millis(3000), late_value: 0.0, idempotency: effect }
 }
 
 pub fn member(id: u32) -> Member {
     Member {
         id: UpstreamId(id),
         zone: Some(ZoneId(0)),
-        kind: None,
+        machine_type: None,
         cell: 0,
         phase: Phase::Ready,
         weight: 1.0,
-        started: None,
+        started_at: None,
     }
 }
 
@@ -42,7 +42,7 @@
         let balancer = Balancer::new(settings, seed).expect("the settings make sense");
         let mut bench = Self::with(balancer);
         bench.tell(Event::Started);
-        bench.tell(Event::List(ListUpdate::Whole(members)));
+        bench.tell(Event::Discovery(DiscoveryUpdate::Full(members)));
         bench
     }
 
@@ -64,9 +64,9 @@
         let end = self.now + span;
         while self.next_wake <= end {
             self.now = self.now.max(self.next_wake);
-            let actions = self.tell(Event::Wake);
+            let actions = self.tell(Event::TimerFired);
             let wake = actions.iter().find_map(|action| match action {
-                Action::WakeAfter(span) => Some(*span),
+                Action::SetTimer(span) => Some(*span),
                 _ => None,
             });
             self.next_wake = self.now + wake.expect("a sweep asks for the next");
@@ -87,10 +87,10 @@
             id,
             class: ClassId(0),
             tenant: tenant.map(TenantId),
-            key: None,
+            resource_key: None,
             time_left,
             expected_work: None,
-            repeat: false,
+            is_retry: false,
         };
         (id, self.tell(Event::Request(request)))
     }
@@ -100,8 +100,8 @@
             request,
             attempt: AttemptNumber(number),
             outcome,
-            took,
-            finished: outcome == Outcome::Good,
+            duration: took,
+            request_ended: outcome == Outcome::Good,
             load: None,
         }))
     }
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -34,20 +34,20 @@
 }
 
 fn settings(fleet: Fleet, index: u32) -> Settings {
-    let mut settings = Settings::single_zone(vec![class(Effect::Safe)]);
-    (settings.index, settings.copies) = (index, fleet.copies);
-    settings.allowed.streams = 1;
-    settings.rules.cold_share = 0.15;
-    settings.rules.cold_time = millis(20_000);
-    settings.rules.overload_multiple = 1.5;
-    settings.rules.overload_window = millis(2_000);
+    let mut settings = Settings::single_zone(vec![class(Idempotency::Idempotent)]);
+    (settings.replica_index, settings.replica_count) = (index, fleet.copies);
+    settings.capabilities.max_concurrent_streams = 1;
+    settings.rules.slow_start_min_fraction = 0.15;
+    settings.rules.slow_start_duration = millis(20_000);
+    settings.rules.overload_factor = 1.5;
+    settings.rules.overload_duration = millis(2_000);
     settings
 }
 
 /// Plays a fleet whose upstreams come back cold under a burst of half as many calls again; tells when.
 fn play(fleet: Fleet) -> (Duration, Vec<Sent>) {
     let members = |started: Option<Duration>| -> Vec<Member> {
-        (0..UPSTREAMS).map(|id| Member { started: started.filter(|_| id < COLD), ..member(id) }).collect()
+        (0..UPSTREAMS).map(|id| Member { started_at: started.filter(|_| id < COLD), ..member(id) }).collect()
     };
     let mut copies: Vec<Bench> = (0..fleet.copies)
         .map(|index| Bench::new(settings(fleet, index), fleet.seed + u64::from(index), members(None)))
@@ -60,7 +60,9 @@
         if now > restart && !told {
             told = true;
             for copy in &mut copies {
-                copy.tell(stilelead_decision::Event::List(ListUpdate::Whole(members(Some(restart)))));
+                copy.tell(stilelead_decision::Event::Discovery(DiscoveryUpdate::Full(members(Some(
+                    restart,
+                )))));
             }
         }
         let calls = fleet.calls * if told { 1.5 } else { 1.0 };
@@ -99,7 +101,7 @@
         let fleet = Fleet { copies, calls, cold_outcome, seed };
         let (restart, sends) = play(fleet);
         let rules = settings(fleet, 0).rules;
-        let window = rules.overload_window;
+        let window = rules.overload_duration;
         // Before the burst warm upstreams are at seven tenths of what they can do.
         let capacity = f64::from(copies) * calls / f64::from(UPSTREAMS) / 0.7;
         for cold in 0..COLD {
@@ -107,9 +109,9 @@
                 sends.iter().filter(|sent| sent.upstream == cold).map(|sent| sent.at).collect();
             for (place, &begin) in times.iter().enumerate() {
                 let count = times[place..].iter().take_while(|&&at| at < begin + window).count() as f64;
-                let age = (begin - restart).as_secs_f64() / rules.cold_time.as_secs_f64();
-                let warmth = rules.cold_share + (1.0 - rules.cold_share) * age;
-                let allowed = rules.overload_multiple * warmth * capacity * window.as_secs_f64();
+                let age = (begin - restart).as_secs_f64() / rules.slow_start_duration.as_secs_f64();
+                let warmth = rules.slow_start_min_fraction + (1.0 - rules.slow_start_min_fraction) * age;
+                let allowed = rules.overload_factor * warmth * capacity * window.as_secs_f64();
                 let most = allowed + 2.0 * allowed.sqrt() + 2.0;
                 assert!(count <= most, "{fleet:?}: {count} calls of {most} to {cold}");
             }
--- a/tests/list_trust.rs
+++ b/tests/list_trust.rs
@@ -12,10 +12,10 @@
 const GRACE: Duration = Duration::from_millis(150);
 
 fn settings() -> Settings {
-    let mut settings = Settings::single_zone(vec![class(Effect::Safe)]);
+    let mut settings = Settings::single_zone(vec![class(Idempotency::Idempotent)]);
     settings.discovery = DiscoveryMode::Subscribe;
     settings.rules.drain_grace = millis(300);
-    settings.rules.ask_within = Some(millis(10_000));
+    settings.rules.max_poll_interval = Some(millis(10_000));
     settings
 }
 
@@ -28,7 +28,7 @@
 fn sends(bench: &mut Bench) -> bool {
     let (id, actions) = bench.offer(None);
     let goes = sent(&actions).is_some();
-    bench.tell(Event::ClientLeft(id));
+    bench.tell(Event::RequestAbandoned(id));
     bench.end(id, 0, Outcome::Withdrawn, Duration::ZERO);
     goes
 }
@@ -51,7 +51,7 @@
 }
 
 fn broken(bench: &mut Bench) {
-    bench.tell(Event::List(ListUpdate::Broken));
+    bench.tell(Event::Discovery(DiscoveryUpdate::Failed));
 }
 
 /// Found on the day with the broken drain of an own deployment: a subscription may end in place of telling a change,
@@ -67,7 +67,7 @@
     };
     // Answered: all is known.
     let mut bench = ended();
-    bench.tell(Event::List(ListUpdate::Patch(Vec::new())));
+    bench.tell(Event::Discovery(DiscoveryUpdate::Incremental(Vec::new())));
     assert_eq!(sends_for(&mut bench, millis(30_000)), None);
     // Turned away: what it has counts six seconds after the end at the latest.
     let mut bench = ended();
@@ -84,7 +84,7 @@
 fn a_subscription_that_fell_silent_is_counted_from_its_last_word() {
     let mut bench = subscribed(settings(), 3);
     bench.pass(millis(5000));
-    bench.tell(Event::List(ListUpdate::Silent(millis(3200))));
+    bench.tell(Event::Discovery(DiscoveryUpdate::TimedOut(millis(3200))));
     assert_about(sends_for(&mut bench, millis(60_000)), millis(6000 - 3200) + GRACE);
 }
 
@@ -120,7 +120,7 @@
         let balancer = Balancer::new(settings(), 5).expect("the settings make sense");
         let mut bench = Bench::with(balancer);
         bench.tell(Event::Started);
-        bench.tell(Event::List(ListUpdate::StaleCopy(vec![member(0), member(1)])));
+        bench.tell(Event::Discovery(DiscoveryUpdate::Stale(vec![member(0), member(1)])));
         bench
     };
     let mut bench = restarted();
@@ -136,7 +136,7 @@
     // Failed calls renew nothing; a word from discovery does.
     broken(&mut bench);
     assert!(!sends(&mut bench));
-    bench.tell(Event::List(ListUpdate::Patch(Vec::new())));
+    bench.tell(Event::Discovery(DiscoveryUpdate::Incremental(Vec::new())));
     assert!(sends(&mut bench));
 }
 
@@ -146,7 +146,7 @@
     let mut bench = subscribed(settings(), 3);
     broken(&mut bench);
     for _ in 0..30 {
-        bench.tell(Event::List(ListUpdate::Unreachable));
+        bench.tell(Event::Discovery(DiscoveryUpdate::Unreachable));
         assert_eq!(sends_for(&mut bench, millis(4000)), None);
     }
     // It is back, and turns calls away.
@@ -161,10 +161,10 @@
     bench.tell(Event::DiscoveryMoved);
     bench.pass(millis(1000));
     // Where it was it still speaks, which says nothing of where it is.
-    bench.tell(Event::FormerList(ListUpdate::Patch(Vec::new())));
+    bench.tell(Event::FormerDiscovery(DiscoveryUpdate::Incremental(Vec::new())));
     broken(&mut bench);
     assert_about(sends_for(&mut bench, millis(60_000)), millis(3000) + GRACE);
-    bench.tell(Event::List(ListUpdate::Patch(Vec::new())));
+    bench.tell(Event::Discovery(DiscoveryUpdate::Incremental(Vec::new())));
     assert_eq!(sends_for(&mut bench, millis(10_000)), None);
 }
 
@@ -174,7 +174,7 @@
     let mut bench = subscribed(settings(), 1);
     bench.tell(Event::DiscoveryMoved);
     let draining = Member { phase: Phase::Draining, ..member(0) };
-    bench.tell(Event::FormerList(ListUpdate::Patch(vec![draining])));
+    bench.tell(Event::FormerDiscovery(DiscoveryUpdate::Incremental(vec![draining])));
     assert!(!sends(&mut bench));
 }
 
@@ -194,17 +194,18 @@
     let mut bench = subscribed(settings(), 1);
     assert!(sent(&bench.offer(None).1).is_some());
     broken(&mut bench);
-    let aborts = |actions: &[Action]| actions.contains(&Action::AbortConnects { upstream: UpstreamId(0) });
-    assert!(!aborts(&bench.tell(Event::Wake)));
+    let aborts =
+        |actions: &[Action]| actions.contains(&Action::AbortPendingConnects { upstream: UpstreamId(0) });
+    assert!(!aborts(&bench.tell(Event::TimerFired)));
     bench.now += millis(2000) + GRACE;
-    assert!(aborts(&bench.tell(Event::Wake)));
+    assert!(aborts(&bench.tell(Event::TimerFired)));
 }
 
 /// Where lists are pushed, an end of the subscription stands for no change; only silence and time do.
 #[test]
 fn pushed_lists_hold_for_six_seconds_without_a_subscription() {
     let mut settings = settings();
-    settings.rules.ask_within = None;
+    settings.rules.max_poll_interval = None;
     let mut bench = subscribed(settings.clone(), 3);
     broken(&mut bench);
     assert_about(sends_for(&mut bench, millis(60_000)), millis(6000) + GRACE);
--- a/tests/pick.rs
+++ b/tests/pick.rs
@@ -11,12 +11,12 @@
 use stilelead_decision::{Action, Settings};
 
 fn settings() -> Settings {
-    Settings::single_zone(vec![class(Effect::Safe)])
+    Settings::single_zone(vec![class(Idempotency::Idempotent)])
 }
 
 /// The upstreams that a copy uses, over many calls.
 fn used(index: u32, copies: u32, upstreams: u32) -> Vec<u32> {
-    let settings = Settings { index, copies, ..settings() };
+    let settings = Settings { replica_index: index, replica_count: copies, ..settings() };
     let mut bench = Bench::new(settings, u64::from(index), (0..upstreams).map(member).collect());
     let mut used = BTreeMap::new();
     for _ in 0..400 {
@@ -124,8 +124,8 @@
 }
 
 fn two_zones(tier: usize, price: f64) -> Bench {
-    let mut settings = Settings { zones: 2, tier, ..settings() };
-    settings.prices.cross_zone = price;
+    let mut settings = Settings { zone_count: 2, tier, ..settings() };
+    settings.costs.cross_zone = price;
     let members = (0..8).map(|id| Member { zone: Some(ZoneId(id as usize % 2)), ..member(id) });
     Bench::new(settings, 9, members.collect())
 }
@@ -166,10 +166,10 @@
 #[test]
 fn a_cold_upstream_gets_its_part_of_what_warm_ones_get() {
     let mut settings = settings();
-    settings.rules.cold_share = 0.1;
-    settings.rules.cold_time = millis(20_000);
+    settings.rules.slow_start_min_fraction = 0.1;
+    settings.rules.slow_start_duration = millis(20_000);
     let mut members: Vec<Member> = (0..5).map(member).collect();
-    members[0].started = Some(START);
+    members[0].started_at = Some(START);
     let mut bench = Bench::new(settings, 3, members);
     let mut per_second = Vec::new();
     for _ in 0..22 {
@@ -197,7 +197,7 @@
 fn denied_calls_earn_no_further_attempts() {
     let mut settings = settings();
     settings.tenants = vec![Tenant { quota: Some(2.0) }];
-    settings.over_share_worth = 0.0;
+    settings.over_quota_value = 0.0;
     let mut bench = Bench::new(settings, 3, (0..8).map(member).collect());
     let (mut first, mut further) = (0, 0);
     for _ in 0..2000 {
@@ -251,25 +251,25 @@
 #[test]
 fn connects_to_upstreams_not_to_be_sent_to_are_aborted() {
     let aborts =
-        |actions: &[Action], id| actions.contains(&Action::AbortConnects { upstream: UpstreamId(id) });
+        |actions: &[Action], id| actions.contains(&Action::AbortPendingConnects { upstream: UpstreamId(id) });
     let with = |phase| Member { phase, ..member(0) };
     for list in [
-        ListUpdate::Patch(vec![with(Phase::Draining)]),
-        ListUpdate::Patch(vec![with(Phase::Gone)]),
-        ListUpdate::Whole(vec![member(1)]),
+        DiscoveryUpdate::Incremental(vec![with(Phase::Draining)]),
+        DiscoveryUpdate::Incremental(vec![with(Phase::Gone)]),
+        DiscoveryUpdate::Full(vec![member(1)]),
     ] {
         let mut bench = Bench::new(settings(), 3, vec![member(0)]);
         let (id, actions) = bench.offer(None);
         assert_eq!(sent(&actions), Some(UpstreamId(0)));
-        assert!(!aborts(&bench.tell(Event::List(ListUpdate::Patch(vec![member(1)]))), 0));
-        assert!(aborts(&bench.tell(Event::List(list)), 0));
+        assert!(!aborts(&bench.tell(Event::Discovery(DiscoveryUpdate::Incremental(vec![member(1)]))), 0));
+        assert!(aborts(&bench.tell(Event::Discovery(list)), 0));
         // What was aborted goes elsewhere.
         assert_eq!(sent(&bench.end(id, 0, Outcome::ConnectFailed, millis(1))), Some(UpstreamId(1)));
-        assert!(!aborts(&bench.tell(Event::List(ListUpdate::Patch(vec![member(2)]))), 0));
+        assert!(!aborts(&bench.tell(Event::Discovery(DiscoveryUpdate::Incremental(vec![member(2)]))), 0));
     }
     let mut bench = Bench::new(settings(), 3, vec![member(0)]);
     let ids: Vec<_> = (0..3).map(|_| bench.offer(None).0).collect();
-    bench.tell(Event::List(ListUpdate::Patch(vec![member(1)])));
+    bench.tell(Event::Discovery(DiscoveryUpdate::Incremental(vec![member(1)])));
     assert!(!aborts(&bench.end(ids[0], 0, Outcome::ConnectFailed, millis(20)), 0));
     assert!(aborts(&bench.end(ids[1], 0, Outcome::ConnectFailed, millis(20)), 0));
 }
@@ -280,8 +280,8 @@
 fn a_sparse_copy_keeps_to_open_connections_where_handshakes_are_priced() {
     let distinct = |price: f64| {
         let mut settings = settings();
-        settings.prices.handshake = price;
-        settings.allowed.streams = 1;
+        settings.costs.handshake = price;
+        settings.capabilities.max_concurrent_streams = 1;
         let mut bench = Bench::new(settings, 3, (0..8).map(member).collect());
         let mut used = BTreeMap::new();
         for _ in 0..60 {
@@ -300,7 +300,7 @@
 fn upstreams_that_reject_calls_do_not_draw_more_of_them() {
     let (mut sends, mut rejected) = (0, 0);
     for index in 0..20 {
-        let settings = Settings { index, copies: 20, ..settings() };
+        let settings = Settings { replica_index: index, replica_count: 20, ..settings() };
         let mut bench = Bench::new(settings, index.into(), (0..32).map(member).collect());
         let mut open = VecDeque::new();
         for _ in 0..400 {
--- a/tests/reconfigure.rs
+++ b/tests/reconfigure.rs
@@ -9,9 +9,9 @@
 use stilelead_decision::{Action, Event, Settings};
 
 fn settings(quota: f64) -> Settings {
-    let mut settings = Settings::single_zone(vec![class(Effect::Safe)]);
+    let mut settings = Settings::single_zone(vec![class(Idempotency::Idempotent)]);
     settings.tenants = vec![Tenant { quota: Some(quota) }];
-    settings.over_share_worth = 0.0;
+    settings.over_quota_value = 0.0;
     settings
 }
 
@@ -25,10 +25,10 @@
         id: RequestId(1_000_000 + id),
         class: ClassId(class),
         tenant: Some(TenantId(tenant)),
-        key: None,
+        resource_key: None,
         time_left: millis(3000),
         expected_work: None,
-        repeat: false,
+        is_retry: false,
     }))
 }
 
@@ -78,7 +78,7 @@
             let mut bench = Bench::new(settings.clone(), 5, (0..4).map(member).collect());
             admitted(&mut bench, 0, 40.0, 800, Outcome::TimedOut);
             if changes {
-                change(&mut bench, &Settings { over_share_worth: 0.1, ..settings.clone() });
+                change(&mut bench, &Settings { over_quota_value: 0.1, ..settings.clone() });
             }
             admitted_of_burst(&mut bench, 0, 80)
         };
@@ -108,7 +108,7 @@
     let mut bench = Bench::new(settings(25.0 / 3.0), 5, (0..4).map(member).collect());
     assert!(refused(&offer(&mut bench, 0, 1, 0)), "a class that the settings do not have");
     let mut wider = settings(25.0 / 3.0);
-    wider.classes.push(class(Effect::Unsafe));
+    wider.classes.push(class(Idempotency::NonIdempotent));
     wider.tenants.push(Tenant { quota: Some(100.0) });
     change(&mut bench, &wider);
     assert!(sent(&offer(&mut bench, 1, 1, 1)).is_some());
@@ -124,10 +124,10 @@
     let ids: Vec<_> = (0..6).map(|_| bench.offer(Some(0)).0).collect();
     bench.pass(millis(400));
     let mut changed = settings(900.0);
-    changed.classes[0].aim = millis(100);
-    changed.allowed.attempts = 2;
-    changed.copies = 7;
-    changed.index = 3;
+    changed.classes[0].latency_target = millis(100);
+    changed.capabilities.max_attempts = 2;
+    changed.replica_count = 7;
+    changed.replica_index = 3;
     changed.tenants.push(Tenant { quota: Some(5.0) });
     assert_eq!(change(&mut bench, &changed), []);
     for &id in &ids[..3] {
@@ -158,7 +158,7 @@
         tried += u32::from(bench.run(sick).contains(&UpstreamId(0)));
     }
     let mut changed = settings(1000.0);
-    changed.classes[0].late_worth = 0.5;
+    changed.classes[0].late_value = 0.5;
     change(&mut bench, &changed);
     for _ in 0..50 {
         assert!(!bench.run(sick).contains(&UpstreamId(0)), "sent to an upstream that is ejected");
@@ -178,7 +178,7 @@
     let mut parts = Vec::new();
     for index in 0..32 {
         let mut changed = settings(1e6);
-        (changed.copies, changed.index) = (32, index);
+        (changed.replica_count, changed.replica_index) = (32, index);
         change(&mut bench, &changed);
         let part = used(&mut bench);
         assert_eq!(part.len(), 8);
@@ -198,7 +198,7 @@
         tried.iter().filter(|upstream| upstream.0 % 2 == zone).count()
     };
     // Below the first tier calls stay at home.
-    let mut settings = Settings { zones: 2, tier: 1, ..settings(1e6) };
+    let mut settings = Settings { zone_count: 2, tier: 1, ..settings(1e6) };
     let mut bench = Bench::new(settings.clone(), 3, members());
     assert_eq!(at_zone(&mut bench, 0), 200);
     settings.zone = ZoneId(1);
@@ -216,7 +216,7 @@
 }
 
 /// How a request in flight is repeated after its attempt broke off, where its class had these effects one by one.
-fn after_changes(effects: &[Effect], outcome: Outcome) -> Vec<Action> {
+fn after_changes(effects: &[Idempotency], outcome: Outcome) -> Vec<Action> {
     let with = |effect| Settings { classes: vec![class(effect)], ..settings(1000.0) };
     let mut bench = Bench::new(with(effects[0]), 5, (0..4).map(member).collect());
     let (id, actions) = bench.offer(Some(0));
@@ -229,13 +229,18 @@
 
 #[test]
 fn no_rule_on_effects_is_loosened_for_a_request_in_flight() {
-    let keyed = |span| Effect::Keyed { scope: DedupScope::All, window: millis(span) };
-    let changes: [&[Effect]; 6] = [
-        &[Effect::Unsafe, Effect::Safe],
-        &[Effect::Safe, Effect::Unsafe],
-        &[Effect::Unsafe, Effect::Safe, Effect::Unsafe, Effect::Safe],
-        &[Effect::Safe, Effect::Unsafe, Effect::Safe],
-        &[Effect::Unsafe, keyed(5000)],
+    let keyed = |span| Idempotency::Deduplicated { scope: DedupScope::All, window: millis(span) };
+    let changes: [&[Idempotency]; 6] = [
+        &[Idempotency::NonIdempotent, Idempotency::Idempotent],
+        &[Idempotency::Idempotent, Idempotency::NonIdempotent],
+        &[
+            Idempotency::NonIdempotent,
+            Idempotency::Idempotent,
+            Idempotency::NonIdempotent,
+            Idempotency::Idempotent,
+        ],
+        &[Idempotency::Idempotent, Idempotency::NonIdempotent, Idempotency::Idempotent],
+        &[Idempotency::NonIdempotent, keyed(5000)],
         &[keyed(5), keyed(5000)],
     ];
     for effects in changes {
@@ -246,68 +251,79 @@
         assert!(sent(&after_changes(effects, Outcome::Refused)).is_some(), "{effects:?}");
     }
     // Where its rule has not changed it goes on as it was.
-    assert!(sent(&after_changes(&[Effect::Safe, Effect::Safe], Outcome::Reset)).is_some());
+    assert!(
+        sent(&after_changes(&[Idempotency::Idempotent, Idempotency::Idempotent], Outcome::Reset)).is_some()
+    );
     assert!(sent(&after_changes(&[keyed(5000), keyed(5000)], Outcome::Reset)).is_some());
 }
 
 #[test]
 fn requests_that_come_after_a_change_go_by_the_new_rule() {
-    for (old, new) in [(Effect::Unsafe, Effect::Safe), (Effect::Safe, Effect::Unsafe)] {
+    for (old, new) in [
+        (Idempotency::NonIdempotent, Idempotency::Idempotent),
+        (Idempotency::Idempotent, Idempotency::NonIdempotent),
+    ] {
         let with = |effect| Settings { classes: vec![class(effect)], ..settings(1000.0) };
         let mut bench = Bench::new(with(old), 5, (0..4).map(member).collect());
         change(&mut bench, &with(new));
         let (id, _) = bench.offer(Some(0));
-        assert_eq!(sent(&bench.end(id, 0, Outcome::Reset, millis(10))).is_some(), new == Effect::Safe);
+        assert_eq!(
+            sent(&bench.end(id, 0, Outcome::Reset, millis(10))).is_some(),
+            new == Idempotency::Idempotent
+        );
     }
 }
 
 #[test]
 fn settings_that_take_positions_away_are_refused_and_change_nothing() {
     let mut full = settings(1000.0);
-    full.classes.push(class(Effect::Unsafe));
-    (full.zones, full.kinds) = (2, 3);
+    full.classes.push(class(Idempotency::NonIdempotent));
+    (full.zone_count, full.machine_type_count) = (2, 3);
     let shrunk = |change: fn(&mut Settings)| {
-        let mut less = Settings { allowed: Allowed { attempts: 1, ..full.allowed.clone() }, ..full.clone() };
+        let mut less = Settings {
+            capabilities: Capabilities { max_attempts: 1, ..full.capabilities.clone() },
+            ..full.clone()
+        };
         change(&mut less);
         less
     };
     let cases = [
-        (shrunk(|less| less.classes.truncate(1)), SettingsError::Fewer("classes")),
-        (shrunk(|less| less.tenants.clear()), SettingsError::Fewer("tenants")),
-        (shrunk(|less| less.zones = 1), SettingsError::Fewer("zones")),
-        (shrunk(|less| less.kinds = 2), SettingsError::Fewer("kinds")),
-        (shrunk(|less| less.copies = 0), SettingsError::NoCopies),
-        (shrunk(|less| less.allowed.attempts = 0), SettingsError::NoAttempts),
+        (shrunk(|less| less.classes.truncate(1)), SettingsError::MissingEntries("classes")),
+        (shrunk(|less| less.tenants.clear()), SettingsError::MissingEntries("tenants")),
+        (shrunk(|less| less.zone_count = 1), SettingsError::MissingEntries("zones")),
+        (shrunk(|less| less.machine_type_count = 2), SettingsError::MissingEntries("machine types")),
+        (shrunk(|less| less.replica_count = 0), SettingsError::NoReplicas),
+        (shrunk(|less| less.capabilities.max_attempts = 0), SettingsError::NoAttempts),
     ];
     let mut bench = Bench::new(full.clone(), 5, (0..4).map(member).collect());
     for (less, error) in cases {
-        assert_eq!(less.succeeds(&full), Err(error));
+        assert_eq!(less.validate_replacement_of(&full), Err(error));
         assert_eq!(change(&mut bench, &less), []);
         // Were any of it in force, there would be no second attempt.
         let (id, _) = bench.offer(Some(0));
         assert!(sent(&bench.end(id, 0, Outcome::Refused, millis(1))).is_some());
         bench.end(id, 1, Outcome::Good, millis(1));
     }
-    assert_eq!(full.succeeds(&full), Ok(()));
-    assert_eq!(shrunk(|_| {}).succeeds(&full), Ok(()));
+    assert_eq!(full.validate_replacement_of(&full), Ok(()));
+    assert_eq!(shrunk(|_| {}).validate_replacement_of(&full), Ok(()));
 }
 
 #[test]
 fn a_shorter_time_to_ask_within_holds_at_once() {
     let mut asking = settings(1000.0);
     asking.discovery = DiscoveryMode::Subscribe;
-    asking.rules.ask_within = Some(millis(60_000));
+    asking.rules.max_poll_interval = Some(millis(60_000));
     let mut bench = Bench::new(asking.clone(), 5, (0..4).map(member).collect());
     // A subscription that stands goes on.
-    asking.rules.ask_within = Some(millis(50_000));
+    asking.rules.max_poll_interval = Some(millis(50_000));
     assert_eq!(change(&mut bench, &asking), []);
-    bench.tell(Event::List(ListUpdate::Broken));
+    bench.tell(Event::Discovery(DiscoveryUpdate::Failed));
     bench.pass(millis(2_000));
-    asking.rules.ask_within = Some(millis(1_000));
-    assert!(change(&mut bench, &asking).contains(&Action::Subscribe));
+    asking.rules.max_poll_interval = Some(millis(1_000));
+    assert!(change(&mut bench, &asking).contains(&Action::SubscribeToDiscovery));
     // The same settings once more ask for nothing.
     assert_eq!(change(&mut bench, &asking), []);
     // Where lists came by themselves they must be asked for from now on.
     let mut bench = Bench::new(settings(1000.0), 5, (0..4).map(member).collect());
-    assert!(change(&mut bench, &asking).contains(&Action::Subscribe));
+    assert!(change(&mut bench, &asking).contains(&Action::SubscribeToDiscovery));
 }
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -44,7 +44,7 @@
 #[derive(Debug, Clone)]
 struct Reconfigure {
     class: usize,
-    effect: Effect,
+    effect: Idempotency,
     late_worth: f64,
     attempts: u32,
     copies: u32,
@@ -58,12 +58,12 @@
     more: bool,
 }
 
-fn effect() -> impl Strategy<Value = Effect> {
+fn effect() -> impl Strategy<Value = Idempotency> {
     let scope = prop_oneof![Just(DedupScope::All), Just(DedupScope::Zone), Just(DedupScope::Cell)];
     prop_oneof![
-        1 => Just(Effect::Safe),
-        1 => Just(Effect::Unsafe),
-        2 => (scope, 50u64..1500).prop_map(|(scope, window)| Effect::Keyed { scope, window: millis(window) }),
+        1 => Just(Idempotency::Idempotent),
+        1 => Just(Idempotency::NonIdempotent),
+        2 => (scope, 50u64..1500).prop_map(|(scope, window)| Idempotency::Deduplicated { scope, window: millis(window) }),
     ]
 }
 
@@ -121,21 +121,21 @@
 }
 
 fn settings(second_copies: bool, subscribe: bool) -> Settings {
-    let class = |effect, late_worth| Class { late_worth, ..common::class(effect) };
-    let keyed = |scope| Effect::Keyed { scope, window: millis(800) };
+    let class = |effect, late_worth| Class { late_value: late_worth, ..common::class(effect) };
+    let keyed = |scope| Idempotency::Deduplicated { scope, window: millis(800) };
     let mut settings = Settings::single_zone(vec![
-        class(Effect::Safe, 0.0),
-        class(Effect::Unsafe, 0.5),
+        class(Idempotency::Idempotent, 0.0),
+        class(Idempotency::NonIdempotent, 0.5),
         class(keyed(DedupScope::All), 0.5),
         class(keyed(DedupScope::Zone), 0.0),
         class(keyed(DedupScope::Cell), 0.5),
     ]);
-    settings.zones = 2;
-    settings.allowed.second_copies = second_copies;
-    settings.allowed.attempts = 4;
+    settings.zone_count = 2;
+    settings.capabilities.hedging = second_copies;
+    settings.capabilities.max_attempts = 4;
     if subscribe {
         settings.discovery = DiscoveryMode::Subscribe;
-        settings.rules.ask_within = Some(millis(10_000));
+        settings.rules.max_poll_interval = Some(millis(10_000));
     }
     settings
 }
@@ -154,7 +154,7 @@
 struct Held {
     class: usize,
     /// All that have been in force for it since it came.
-    effects: Vec<Effect>,
+    effects: Vec<Idempotency>,
     deadline: Duration,
     attempts: Vec<Sent>,
     finals: u32,
@@ -209,15 +209,15 @@
                 let target = self.list.get(&upstream).expect("an upstream that a list has named");
                 assert_eq!(target.phase, Phase::Ready, "sent to one that drains or is gone");
                 let out = held.attempts.iter().filter(|sent| sent.ended.is_none()).count();
-                assert!(out == 0 || self.settings.allowed.second_copies, "two attempts at once");
-                assert!(held.attempts.len() < self.settings.allowed.attempts as usize);
+                assert!(out == 0 || self.settings.capabilities.hedging, "two attempts at once");
+                assert!(held.attempts.len() < self.settings.capabilities.max_attempts as usize);
                 let ran = |sent: &&Sent| sent.ended.is_none_or(|outcome| !outcome.never_ran());
                 if let Some(first) = held.attempts.iter().find(ran) {
                     for effect in &held.effects {
                         match *effect {
-                            Effect::Safe => {}
-                            Effect::Unsafe => panic!("an unsafe request sent twice"),
-                            Effect::Keyed { scope, window } => {
+                            Idempotency::Idempotent => {}
+                            Idempotency::NonIdempotent => panic!("an unsafe request sent twice"),
+                            Idempotency::Deduplicated { scope, window } => {
                                 assert!(self.now <= first.at + window, "past the window");
                                 // A rounding is allowed.
                                 assert!(
@@ -242,8 +242,10 @@
                 assert!(held.finals == 1 && !held.over, "a second final answer");
                 let ran = held.attempts.iter().any(|sent| sent.ended.is_none_or(|o| !o.never_ran()));
                 let free = held.effects.iter().all(|effect| match effect {
-                    Effect::Safe | Effect::Keyed { scope: DedupScope::All, .. } => true,
-                    Effect::Keyed { .. } | Effect::Unsafe => false,
+                    Idempotency::Idempotent | Idempotency::Deduplicated { scope: DedupScope::All, .. } => {
+                        true
+                    }
+                    Idempotency::Deduplicated { .. } | Idempotency::NonIdempotent => false,
                 });
                 assert!(free || !ran, "refused though it may have run");
             }
@@ -252,22 +254,22 @@
                 held.finals += 1;
                 assert!(held.finals == 1 && !held.over, "a second final answer");
             }
-            Action::WakeAfter(span) => self.wake = Some(self.now + span),
-            Action::Subscribe => self.unasked = Some(self.now),
-            Action::Withdraw { request, attempt } => {
+            Action::SetTimer(span) => self.wake = Some(self.now + span),
+            Action::SubscribeToDiscovery => self.unasked = Some(self.now),
+            Action::CancelAttempt { request, attempt } => {
                 let held = self.held.get(&request).expect("a request that it has");
                 assert!((attempt.0 as usize) < held.attempts.len(), "withdrew what was never sent");
             }
             Action::Probe { upstream } => {
-                assert!(self.settings.allowed.probes, "a health check that is not allowed");
+                assert!(self.settings.capabilities.probes, "a health check that is not allowed");
                 assert!(self.list.contains_key(&upstream), "checked one that no list has named");
             }
-            Action::AbortConnects { upstream } => {
+            Action::AbortPendingConnects { upstream } => {
                 assert!(self.held.values().any(|held| {
                     held.attempts.iter().any(|sent| sent.upstream == upstream && sent.ended.is_none())
                 }));
             }
-            Action::DropIdle { upstream } => assert!(self.list.contains_key(&upstream)),
+            Action::CloseIdleConnections { upstream } => assert!(self.list.contains_key(&upstream)),
             Action::Report(_) => {}
         }
     }
@@ -285,20 +287,20 @@
                 Some((_, id, n)) => self.end(id, n, Outcome::TimedOut),
                 None => {
                     self.wake = None;
-                    self.tell(Event::Wake);
+                    self.tell(Event::TimerFired);
                 }
             }
             self.check_asked();
         }
         self.now = end;
-        let slack = self.settings.rules.answer_slack;
+        let slack = self.settings.rules.deadline_grace;
         for (id, held) in &self.held {
             assert!(held.over || held.finals == 1 || self.now <= held.deadline + slack, "{id:?} lost");
         }
     }
 
     fn check_asked(&self) {
-        if let (Some(since), Some(within)) = (self.unasked, self.settings.rules.ask_within) {
+        if let (Some(since), Some(within)) = (self.unasked, self.settings.rules.max_poll_interval) {
             assert!(self.now <= since + within, "has not asked for the list in time");
         }
     }
@@ -321,8 +323,8 @@
             request,
             attempt,
             outcome,
-            took,
-            finished,
+            duration: took,
+            request_ended: finished,
             load: None,
         }));
         let held = &self.held[&request];
@@ -335,20 +337,21 @@
         if !stale {
             self.unasked = None;
         }
-        let update = if stale { ListUpdate::StaleCopy(members) } else { ListUpdate::Whole(members) };
-        self.tell(Event::List(update));
+        let update = if stale { DiscoveryUpdate::Stale(members) } else { DiscoveryUpdate::Full(members) };
+        self.tell(Event::Discovery(update));
     }
 
     fn reconfigure(&mut self, new: &Reconfigure) {
         let settings = &mut self.settings;
-        settings.classes[new.class].effect = new.effect;
-        settings.classes[new.class].late_worth = new.late_worth;
-        settings.allowed.attempts = new.attempts;
-        settings.allowed.second_copies = new.second_copies;
-        settings.allowed.cancel = new.cancel;
-        (settings.copies, settings.index, settings.zone) = (new.copies, new.index, ZoneId(new.zone));
+        settings.classes[new.class].idempotency = new.effect;
+        settings.classes[new.class].late_value = new.late_worth;
+        settings.capabilities.max_attempts = new.attempts;
+        settings.capabilities.hedging = new.second_copies;
+        settings.capabilities.cancellation = new.cancel;
+        (settings.replica_count, settings.replica_index, settings.zone) =
+            (new.copies, new.index, ZoneId(new.zone));
         if settings.discovery == DiscoveryMode::Subscribe {
-            settings.rules.ask_within = Some(millis(new.ask_within));
+            settings.rules.max_poll_interval = Some(millis(new.ask_within));
         }
         if new.more {
             settings.classes.push(common::class(new.effect));
@@ -358,7 +361,7 @@
             tenant.quota = new.quota.map(f64::from);
         }
         for held in self.held.values_mut() {
-            held.effects.push(settings.classes[held.class].effect);
+            held.effects.push(settings.classes[held.class].idempotency);
         }
         let settings = settings.clone();
         self.tell(Event::SettingsChanged(Box::new(settings)));
@@ -372,17 +375,17 @@
                 let id = RequestId(self.next);
                 self.next += 1;
                 let deadline = self.now + millis(time_left);
-                let effects = vec![self.settings.classes[class].effect];
+                let effects = vec![self.settings.classes[class].idempotency];
                 let held = Held { class, effects, deadline, attempts: Vec::new(), finals: 0, over: false };
                 self.held.insert(id, held);
                 self.tell(Event::Request(Request {
                     id,
                     class: ClassId(class),
                     tenant: self.settings.tenants.len().checked_sub(1).map(TenantId),
-                    key: None,
+                    resource_key: None,
                     time_left: millis(time_left),
                     expected_work: None,
-                    repeat: false,
+                    is_retry: false,
                 }));
                 let held = &self.held[&id];
                 assert!(held.finals == 1 || !held.attempts.is_empty(), "neither sent nor answered");
@@ -397,22 +400,22 @@
                 let ids: Vec<_> = self.held.keys().copied().collect();
                 if let Some(id) = ids.get(which % ids.len().max(1)) {
                     self.held.get_mut(id).expect("held").over = true;
-                    self.tell(Event::ClientLeft(*id));
+                    self.tell(Event::RequestAbandoned(*id));
                 }
             }
             Step::Change { upstream, phase, restarted } => {
                 let started = if restarted { Some(self.now) } else { None };
-                let member = Member { phase, started, ..member(upstream) };
+                let member = Member { phase, started_at: started, ..member(upstream) };
                 self.list.insert(member.id, member);
                 self.unasked = None;
-                self.tell(Event::List(ListUpdate::Patch(vec![member])));
+                self.tell(Event::Discovery(DiscoveryUpdate::Incremental(vec![member])));
             }
             Step::Reconfigure(new) => self.reconfigure(&new),
             Step::Replace { keep, stale } => self.replace((0..keep).map(member).collect(), stale),
             Step::Broken => {
                 if self.settings.discovery == DiscoveryMode::Subscribe {
                     self.unasked.get_or_insert(self.now);
-                    self.tell(Event::List(ListUpdate::Broken));
+                    self.tell(Event::Discovery(DiscoveryUpdate::Failed));
                 }
             }
         }
@@ -446,13 +449,13 @@
         changes in proptest::option::of((reconfigure(), 1_000u64..5_000)),
     ) {
         let mut settings = settings(false, false);
-        settings.rules.cold_share = 0.15;
-        settings.rules.cold_time = millis(20_000);
-        settings.rules.overload_window = millis(2_000);
+        settings.rules.slow_start_min_fraction = 0.15;
+        settings.rules.slow_start_duration = millis(20_000);
+        settings.rules.overload_duration = millis(2_000);
         let rules = settings.rules.clone();
         let mut world = World::new(settings, seed);
         let started = world.now;
-        let list = (0..8).map(|id| Member { started: (id < cold).then_some(started), ..member(id) });
+        let list = (0..8).map(|id| Member { started_at: (id < cold).then_some(started), ..member(id) });
         world.replace(list.collect(), false);
         let mut sends: Vec<(Duration, u32)> = Vec::new();
         let mut changed = false;
@@ -470,7 +473,7 @@
                 world.reconfigure(&Reconfigure { copies: 1, index: 0, quota: None, ..new.clone() });
             }
         }
-        let window = rules.overload_window;
+        let window = rules.overload_duration;
         let within = |id: u32, end: Duration| {
             sends.iter().filter(|&&(at, to)| to == id && at <= end && at + window > end).count() as f64
         };
@@ -478,8 +481,8 @@
             let end = started + millis(second * 1_000);
             let warm = (cold..8).map(|id| within(id, end)).fold(0.0, f64::max);
             let age = (second as f64 - window.as_secs_f64()).max(0.0);
-            let warmth = rules.cold_share + (1.0 - rules.cold_share) * age / 20.0;
-            let budget = rules.overload_multiple * warmth * warm + 2.0;
+            let warmth = rules.slow_start_min_fraction + (1.0 - rules.slow_start_min_fraction) * age / 20.0;
+            let budget = rules.overload_factor * warmth * warm + 2.0;
             for id in 0..cold {
                 prop_assert!(within(id, end) <= budget, "{} sent, budget {budget}", within(id, end));
             }
@@ -494,20 +497,24 @@
         let mut balancer = Balancer::new(settings(false, true), 11).unwrap();
         let mut actions = Vec::new();
         balancer.handle(START, Event::Started, &mut actions);
-        balancer.handle(START, Event::List(ListUpdate::Whole((0..8).map(member).collect())), &mut actions);
+        balancer.handle(
+            START,
+            Event::Discovery(DiscoveryUpdate::Full((0..8).map(member).collect())),
+            &mut actions,
+        );
         for id in 0..300 {
             let now = START + millis(id * 7);
             let request = Request {
                 id: RequestId(id),
                 class: ClassId(id as usize % 5),
                 tenant: None,
-                key: None,
+                resource_key: None,
                 time_left: millis(900),
                 expected_work: None,
-                repeat: false,
+                is_retry: false,
             };
             balancer.handle(now, Event::Request(request), &mut actions);
-            balancer.handle(now, Event::Wake, &mut actions);
+            balancer.handle(now, Event::TimerFired, &mut actions);
         }
         actions
     };
@@ -519,9 +526,9 @@
     let mut world = World::new(settings(false, false), 3);
     world.step(Step::Ask { class: 0, time_left: 300 });
     let id = RequestId(0);
-    world.tell(Event::StreamStarted { request: id, attempt: AttemptNumber(0) });
+    world.tell(Event::ResponseStarted { request: id, attempt: AttemptNumber(0) });
     let mut actions = Vec::new();
-    world.balancer.handle(world.now + millis(5000), Event::ClientLeft(id), &mut actions);
+    world.balancer.handle(world.now + millis(5000), Event::RequestAbandoned(id), &mut actions);
     assert_eq!(actions, []);
 }
 
@@ -533,14 +540,17 @@
         Balancer::new(settings, 1).err()
     };
     assert_eq!(with(|_| {}), None);
-    assert_eq!(with(|settings| settings.classes.clear()), Some(SettingsError::NoClass));
+    assert_eq!(with(|settings| settings.classes.clear()), Some(SettingsError::NoClasses));
     assert_eq!(with(|settings| settings.zone = ZoneId(2)), Some(SettingsError::UnknownZone));
-    assert_eq!(with(|settings| settings.copies = 0), Some(SettingsError::NoCopies));
-    assert_eq!(with(|settings| settings.allowed.attempts = 0), Some(SettingsError::NoAttempts));
-    assert_eq!(with(|settings| settings.classes[1].aim = millis(9_000)), Some(SettingsError::ClassTimes(1)));
+    assert_eq!(with(|settings| settings.replica_count = 0), Some(SettingsError::NoReplicas));
+    assert_eq!(with(|settings| settings.capabilities.max_attempts = 0), Some(SettingsError::NoAttempts));
+    assert_eq!(
+        with(|settings| settings.classes[1].latency_target = millis(9_000)),
+        Some(SettingsError::InvalidClassTimes(1))
+    );
     assert_eq!(
-        with(|settings| settings.rules.cold_share = f64::NAN),
-        Some(SettingsError::OutOfRange("cold share"))
+        with(|settings| settings.rules.slow_start_min_fraction = f64::NAN),
+        Some(SettingsError::OutOfRange("slow start minimum fraction"))
     );
 }
 
@@ -549,59 +559,64 @@
 fn unknown_classes_upstreams_and_requests_do_no_harm() {
     let mut balancer = Balancer::new(settings(false, false), 1).expect("the settings make sense");
     let mut actions = Vec::new();
-    balancer.handle(START, Event::List(ListUpdate::Whole(Vec::new())), &mut actions);
+    balancer.handle(START, Event::Discovery(DiscoveryUpdate::Full(Vec::new())), &mut actions);
     let request = Request {
         id: RequestId(7),
         class: ClassId(99),
         tenant: Some(TenantId(99)),
-        key: None,
+        resource_key: None,
         time_left: millis(0),
         expected_work: None,
-        repeat: false,
+        is_retry: false,
     };
     balancer.handle(START, Event::Request(request), &mut actions);
     assert_eq!(actions, [Action::Refuse { request: RequestId(7), retry_after: None }]);
     actions.clear();
-    balancer.handle(START, Event::List(ListUpdate::Whole(vec![member(1)])), &mut actions);
+    balancer.handle(START, Event::Discovery(DiscoveryUpdate::Full(vec![member(1)])), &mut actions);
     let request = Request { class: ClassId(0), time_left: millis(900), ..request };
     balancer.handle(START, Event::Request(request), &mut actions);
     balancer.handle(START, Event::Request(request), &mut actions);
     assert_eq!(actions.len(), 1, "an id in use is not taken twice");
     actions.clear();
     for id in [7, 8] {
-        balancer.handle(START, Event::ClientLeft(RequestId(id)), &mut actions);
+        balancer.handle(START, Event::RequestAbandoned(RequestId(id)), &mut actions);
         let ended = Event::AttemptEnded(AttemptEnded {
             request: RequestId(id),
             attempt: AttemptNumber(5),
             outcome: Outcome::Good,
-            took: millis(0),
-            finished: true,
+            duration: millis(0),
+            request_ended: true,
             load: None,
         });
         balancer.handle(START, ended, &mut actions);
-        let started = Event::StreamStarted { request: RequestId(id), attempt: AttemptNumber(9) };
+        let started = Event::ResponseStarted { request: RequestId(id), attempt: AttemptNumber(9) };
         balancer.handle(START, started, &mut actions);
     }
-    let odd = Event::Probed { upstream: UpstreamId(99), outcome: Outcome::Good, took: millis(1), load: None };
+    let odd = Event::ProbeEnded {
+        upstream: UpstreamId(99),
+        outcome: Outcome::Good,
+        duration: millis(1),
+        load: None,
+    };
     balancer.handle(START, odd, &mut actions);
-    assert!(actions.iter().all(|action| matches!(action, Action::Withdraw { .. })));
+    assert!(actions.iter().all(|action| matches!(action, Action::CancelAttempt { .. })));
 }
 
 /// Upstreams of zones that the settings do not name need not share one: what may have run at the first is not
 /// repeated at the second, as if 'unknown' were a zone of its own.
 #[test]
 fn upstreams_of_unknown_zones_share_no_zone() {
-    let keyed = Effect::Keyed { scope: DedupScope::Zone, window: millis(5000) };
+    let keyed = Idempotency::Deduplicated { scope: DedupScope::Zone, window: millis(5000) };
     let members = (0..2).map(|id| Member { zone: None, ..common::member(id) }).collect();
     let mut bench = common::Bench::new(Settings::single_zone(vec![common::class(keyed)]), 3, members);
     let request = Request {
         id: RequestId(1),
         class: ClassId(0),
         tenant: None,
-        key: None,
+        resource_key: None,
         time_left: millis(3000),
         expected_work: None,
-        repeat: false,
+        is_retry: false,
     };
     let sent = |actions: &[Action]| actions.iter().any(|action| matches!(action, Action::Send { .. }));
     assert!(sent(&bench.tell(Event::Request(request))));
@@ -609,8 +624,8 @@
         request: RequestId(1),
         attempt: AttemptNumber(0),
         outcome: Outcome::Reset,
-        took: millis(1),
-        finished: false,
+        duration: millis(1),
+        request_ended: false,
         load: None,
     }));
     assert!(!sent(&actions) && actions.contains(&Action::Fail { request: RequestId(1) }), "{actions:?}");
@@ -622,16 +637,16 @@
 fn a_subscription_to_pushed_lists_is_not_waited_for() {
     for (ask_within, at_once) in [(None, true), (Some(millis(10_000)), false)] {
         let mut settings = settings(false, true);
-        settings.rules.ask_within = ask_within;
+        settings.rules.max_poll_interval = ask_within;
         let mut bench = common::Bench::new(settings, 3, vec![common::member(0)]);
         bench.pass(millis(1000));
         let mut asked = 0;
         for _ in 0..6 {
-            let mut actions = bench.tell(Event::List(ListUpdate::Broken));
+            let mut actions = bench.tell(Event::Discovery(DiscoveryUpdate::Failed));
             // A sweep comes five times a second.
             bench.now += millis(200);
-            actions.extend(bench.tell(Event::Wake));
-            asked += actions.iter().filter(|action| **action == Action::Subscribe).count();
+            actions.extend(bench.tell(Event::TimerFired));
+            asked += actions.iter().filter(|action| **action == Action::SubscribeToDiscovery).count();
         }
         assert_eq!(asked == 6, at_once, "asked {asked} times where asking is due within {ask_within:?}");
     }
@@ -642,15 +657,15 @@
 #[test]
 fn a_broken_subscription_to_pushed_lists_is_opened_at_once() {
     let mut settings = settings(false, true);
-    settings.rules.ask_within = None;
+    settings.rules.max_poll_interval = None;
     let mut bench = common::Bench::new(settings, 3, vec![common::member(0)]);
-    let asks = |actions: Vec<Action>| actions.contains(&Action::Subscribe);
+    let asks = |actions: Vec<Action>| actions.contains(&Action::SubscribeToDiscovery);
     for _ in 0..3 {
-        bench.tell(Event::List(ListUpdate::Patch(Vec::new())));
+        bench.tell(Event::Discovery(DiscoveryUpdate::Incremental(Vec::new())));
         bench.pass(millis(1000));
-        assert!(asks(bench.tell(Event::List(ListUpdate::Broken))));
-        assert!(!asks(bench.tell(Event::List(ListUpdate::Broken))));
+        assert!(asks(bench.tell(Event::Discovery(DiscoveryUpdate::Failed))));
+        assert!(!asks(bench.tell(Event::Discovery(DiscoveryUpdate::Failed))));
         bench.now += millis(200);
-        assert!(asks(bench.tell(Event::Wake)));
+        assert!(asks(bench.tell(Event::TimerFired)));
     }
 }
--- a/tests/suppressor.rs
+++ b/tests/suppressor.rs
@@ -9,9 +9,9 @@
 /// A first-tier copy whose only tenant is held to 10 calls a second: a third of 25 and a standard
 /// deviation of its chance over the window.
 fn ten_a_second() -> Bench {
-    let mut settings = Settings::single_zone(vec![class(Effect::Safe)]);
+    let mut settings = Settings::single_zone(vec![class(Idempotency::Idempotent)]);
     settings.tenants = vec![Tenant { quota: Some(25.0 / 3.0) }];
-    settings.over_share_worth = 0.0;
+    settings.over_quota_value = 0.0;
     Bench::new(settings, 5, (0..4).map(member).collect())
 }
 
@@ -101,7 +101,7 @@
 /// a call denied there fails the whole request above.
 #[test]
 fn single_refusals_do_not_cut_a_limit() {
-    let mut settings = Settings::single_zone(vec![class(Effect::Safe)]);
+    let mut settings = Settings::single_zone(vec![class(Idempotency::Idempotent)]);
     settings.tier = 1;
     settings.tenants = vec![Tenant { quota: Some(5.0) }];
     let mut bench = Bench::new(settings, 5, (0..4).map(member).collect());
@@ -122,7 +122,7 @@
 /// A copy whose tenant has been let to climb well over its part, offered 14 calls a second of which
 /// every fourth is first rejected `refusals` times; the calls denied in 20 s.
 fn denied_of_280(refusals: u32, outcome: Outcome, took: u64) -> u32 {
-    let mut settings = Settings::single_zone(vec![class(Effect::Safe)]);
+    let mut settings = Settings::single_zone(vec![class(Idempotency::Idempotent)]);
     settings.tenants = vec![Tenant { quota: Some(25.0 / 3.0) }];
     let mut bench = Bench::new(settings, 5, (0..6).map(member).collect());
     admitted(&mut bench, 9.0, 0.0, 60.0, Outcome::Good);
@@ -156,9 +156,9 @@
 /// elsewhere, passed for congestion and cut the limits.
 #[test]
 fn calls_late_by_a_failed_connect_do_not_cut_the_limit() {
-    let mut settings = Settings::single_zone(vec![class(Effect::Safe)]);
+    let mut settings = Settings::single_zone(vec![class(Idempotency::Idempotent)]);
     settings.tenants = vec![Tenant { quota: Some(25.0 / 3.0) }];
-    settings.classes[0].late_worth = 0.5;
+    settings.classes[0].late_value = 0.5;
     let mut bench = Bench::new(settings, 5, (0..6).map(member).collect());
     admitted(&mut bench, 9.0, 0.0, 60.0, Outcome::Good);
     let mut connecting = std::collections::VecDeque::new();
@@ -184,9 +184,9 @@
 /// other connections were taken for lost, most of them at a time; the limits shrank with the tier.
 #[test]
 fn connects_that_fail_now_and_then_do_not_shrink_the_limits() {
-    let mut settings = Settings::single_zone(vec![class(Effect::Safe)]);
+    let mut settings = Settings::single_zone(vec![class(Idempotency::Idempotent)]);
     settings.tenants = vec![Tenant { quota: Some(25.0 / 3.0) }];
-    settings.over_share_worth = 0.0;
+    settings.over_quota_value = 0.0;
     let mut bench = Bench::new(settings, 5, (0..6).map(member).collect());
     let sends = std::cell::RefCell::new([0; 6]);
     for call in 0..400 {
@@ -203,9 +203,9 @@
 /// Calls denied in 60 s at 9 a second, beside calls that took 20 ms before and now take `took`; every `errors`-th of
 /// them, if not 0, ends in an error.
 fn denied_beside_errors(errors: u32, took: u64) -> u32 {
-    let mut settings = Settings::single_zone(vec![class(Effect::Unsafe)]);
+    let mut settings = Settings::single_zone(vec![class(Idempotency::NonIdempotent)]);
     settings.tenants = vec![Tenant { quota: Some(25.0 / 3.0) }];
-    settings.over_share_worth = 0.0;
+    settings.over_quota_value = 0.0;
     let mut bench = Bench::new(settings, 5, (0..6).map(member).collect());
     admitted(&mut bench, 9.0, 0.0, 60.0, Outcome::Good);
     let mut denied = 0;
@@ -247,11 +247,11 @@
 /// Found at full size with 644 copies: a soft limit of a third of a call let a whole one a window through.
 #[test]
 fn a_limit_of_less_than_a_call_a_window_holds() {
-    let mut settings = Settings::single_zone(vec![class(Effect::Safe)]);
-    settings.copies = 400;
+    let mut settings = Settings::single_zone(vec![class(Idempotency::Idempotent)]);
+    settings.replica_count = 400;
     // The most that a copy of so many may need of it is 0.05 a second.
     settings.tenants = vec![Tenant { quota: Some(20.0 / f64::ln(400.0)) }];
-    settings.over_share_worth = 0.0;
+    settings.over_quota_value = 0.0;
     let mut bench = Bench::new(settings, 5, (0..4).map(member).collect());
     // The part is 0.05 a second, 0.18 with its chance.
     let part = admitted(&mut bench, 1.0, 10.0, 400.0, Outcome::Good);
@@ -261,9 +261,9 @@
 /// A small tenant's own calls are too few to tell of a jam in time.
 #[test]
 fn a_jam_that_one_tenant_meets_cuts_all_limits() {
-    let mut settings = Settings::single_zone(vec![class(Effect::Safe)]);
+    let mut settings = Settings::single_zone(vec![class(Idempotency::Idempotent)]);
     settings.tenants = vec![Tenant { quota: Some(25.0 / 3.0) }, Tenant { quota: Some(100.0) }];
-    settings.over_share_worth = 0.0;
+    settings.over_quota_value = 0.0;
     let mut bench = Bench::new(settings, 5, (0..4).map(member).collect());
     admitted(&mut bench, 9.5, 0.0, 5.0, Outcome::Good);
     for _ in 0..2000 {
@@ -281,9 +281,9 @@
 /// tier could do, and the limits of single tenants never fell under it while less than a jam was seen.
 #[test]
 fn in_congestion_all_tenants_together_are_held_to_their_fair_shares() {
-    let mut settings = Settings::single_zone(vec![class(Effect::Safe)]);
+    let mut settings = Settings::single_zone(vec![class(Idempotency::Idempotent)]);
     settings.tenants = vec![Tenant { quota: Some(2.0) }; 6];
-    settings.over_share_worth = 0.0;
+    settings.over_quota_value = 0.0;
     let mut bench = Bench::new(settings, 5, (0..4).map(member).collect());
     let mut passed = [0, 0];
     for call in 0..3000 {
@@ -304,9 +304,9 @@
 /// no congestion is met they may carry half as much again as their part, but not several times it.
 #[test]
 fn the_limits_shrink_with_the_tier() {
-    let mut settings = Settings::single_zone(vec![class(Effect::Safe)]);
+    let mut settings = Settings::single_zone(vec![class(Idempotency::Idempotent)]);
     settings.tenants = vec![Tenant { quota: Some(20.0) }; 2];
-    settings.over_share_worth = 0.0;
+    settings.over_quota_value = 0.0;
     let mut bench = Bench::new(settings, 5, (0..8).map(member).collect());
     let run = |bench: &mut Bench| {
         let mut passed = 0;
@@ -322,7 +322,7 @@
     };
     run(&mut bench);
     assert_eq!(run(&mut bench), 900);
-    bench.tell(Event::List(ListUpdate::Whole((0..2).map(member).collect())));
+    bench.tell(Event::Discovery(DiscoveryUpdate::Full((0..2).map(member).collect())));
     let passed = run(&mut bench);
     assert!(passed < 900 * 85 / 100, "{passed} of 900 passed to a quarter of a tier");
 }
@@ -331,9 +331,9 @@
 /// within eight seconds, and let the servers choke.
 #[test]
 fn congestion_does_not_become_the_custom_of_a_busy_copy() {
-    let mut settings = Settings::single_zone(vec![class(Effect::Safe)]);
+    let mut settings = Settings::single_zone(vec![class(Idempotency::Idempotent)]);
     settings.tenants = vec![Tenant { quota: Some(50.0) }; 2];
-    settings.over_share_worth = 0.0;
+    settings.over_quota_value = 0.0;
     let mut bench = Bench::new(settings, 5, (0..8).map(member).collect());
     let run = |bench: &mut Bench, calls: usize, took: u64| {
         let mut passed = 0;
@@ -357,11 +357,11 @@
 /// every part of a call became a whole one.
 #[test]
 fn retries_do_not_wear_down_a_part_of_a_call() {
-    let mut settings = Settings::single_zone(vec![class(Effect::Safe)]);
-    settings.copies = 100;
+    let mut settings = Settings::single_zone(vec![class(Idempotency::Idempotent)]);
+    settings.replica_count = 100;
     // The most that a copy of so many may need of each is 0.04 a second.
     settings.tenants = vec![Tenant { quota: Some(4.0 / f64::ln(100.0)) }; 4];
-    settings.over_share_worth = 0.0;
+    settings.over_quota_value = 0.0;
     let (mut passed, copies) = (0, 40);
     for seed in 0..copies {
         let mut bench = Bench::new(settings.clone(), seed, (0..4).map(member).collect());
@@ -384,9 +384,9 @@
 #[test]
 fn calls_with_short_deadlines_do_not_cut_the_limits_of_others() {
     for outcome in [Outcome::Error, Outcome::TimedOut] {
-        let mut settings = Settings::single_zone(vec![class(Effect::Safe)]);
+        let mut settings = Settings::single_zone(vec![class(Idempotency::Idempotent)]);
         settings.tenants = vec![Tenant { quota: Some(10.0) }; 2];
-        settings.over_share_worth = 0.0;
+        settings.over_quota_value = 0.0;
         let mut bench = Bench::new(settings, 5, (0..4).map(member).collect());
         for call in 0..400 {
             let (id, actions) = bench.offer(Some(0));
@@ -413,9 +413,9 @@
 #[test]
 fn a_drop_does_not_deny_everybody_until_the_window_has_passed() {
     for seed in 0..20 {
-        let mut settings = Settings::single_zone(vec![class(Effect::Unsafe)]);
+        let mut settings = Settings::single_zone(vec![class(Idempotency::NonIdempotent)]);
         settings.tenants = vec![Tenant { quota: Some(20.0) }; 2];
-        settings.over_share_worth = 0.0;
+        settings.over_quota_value = 0.0;
         let mut bench = Bench::new(settings, seed, (0..4).map(member).collect());
         let mut admitted_at = bench.now;
         let mut longest = std::time::Duration::ZERO;
@@ -440,8 +440,8 @@
 #[test]
 fn a_refused_client_is_told_to_come_back_while_it_can_be_served_in_time() {
     for (longest, told) in [(Some(2000), Some(1000)), (Some(300), Some(300)), (None, None)] {
-        let mut settings = Settings::single_zone(vec![class(Effect::Safe)]);
-        settings.allowed.retry_after = longest.map(millis);
+        let mut settings = Settings::single_zone(vec![class(Idempotency::Idempotent)]);
+        settings.capabilities.max_retry_after = longest.map(millis);
         // Nobody to send to: the module gives up at once.
         let mut bench = Bench::new(settings, 5, Vec::new());
         let (request, actions) = bench.offer(None);
@@ -477,13 +477,13 @@
 /// each, and denied most of theirs, though all copies together were well within the quotas and met no congestion.
 #[test]
 fn copies_with_several_times_the_mean_serve_what_the_quotas_allow() {
-    let mut settings = Settings::single_zone(vec![class(Effect::Safe)]);
-    settings.copies = 50;
+    let mut settings = Settings::single_zone(vec![class(Idempotency::Idempotent)]);
+    settings.replica_count = 50;
     settings.tenants = vec![Tenant { quota: Some(500.0) }; 2];
-    settings.over_share_worth = 0.0;
+    settings.over_quota_value = 0.0;
     let (mut offered, mut denied) = (0, 0);
-    for index in 0..settings.copies {
-        settings.index = index;
+    for index in 0..settings.replica_count {
+        settings.replica_index = index;
         let mut bench = Bench::new(settings.clone(), index.into(), (0..8).map(member).collect());
         // A part is 20 a second; five copies are offered 50, the others 10.
         let gap = if index < 5 { millis(20) } else { millis(100) };
@@ -507,12 +507,12 @@
 /// at 5% a second, and denied calls beside idle servers for the rest of the day.
 #[test]
 fn copies_with_several_times_the_mean_are_soon_back_after_congestion() {
-    let mut settings = Settings::single_zone(vec![class(Effect::Safe)]);
-    settings.copies = 50;
+    let mut settings = Settings::single_zone(vec![class(Idempotency::Idempotent)]);
+    settings.replica_count = 50;
     settings.tenants = vec![Tenant { quota: Some(500.0) }; 2];
-    settings.over_share_worth = 0.0;
+    settings.over_quota_value = 0.0;
     for index in 0..5 {
-        let settings = Settings { index, ..settings.clone() };
+        let settings = Settings { replica_index: index, ..settings.clone() };
         let mut bench = Bench::new(settings, index.into(), (0..8).map(member).collect());
         // A part is 20 a second; 50 are offered. Seconds 5 to 8 are congested.
         let (mut in_congestion, mut after) = (0, 0);
