--- a/src/decide.rs
+++ b/src/decide.rs
@@ -1,15 +1,18 @@
-//! Every decision of the balancer. Its settings, events and actions are in `interface.rs`.
+//! All decisions of the balancer. Its settings, events and actions are defined in `interface.rs`.
 //!
-//! The parts, in the order in which a request meets them:
-//! 1. [`Suppressor`] counts a tenant's calls and admits with a smoothly falling probability;
-//! 2. [`LearnedLimit`] is the rate that the suppressor holds a tenant to;
-//! 3. [`Subset`] is the copy's part of the tier, from which the less busy of two is picked;
-//! 4. [`Upstream`] is what the copy knows of an upstream: health, warmth, own calls in flight;
-//! 5. [`Ledger`] holds the requests with their attempts and the budgets for further ones;
-//! 6. [`Discovery`] keeps the list coming; `list_trust` says how far it is relied on meanwhile.
+//! The parts, in the order in which a request passes them:
+//! 1. [`Suppressor`] counts a tenant's calls and rejects them with a probability that rises smoothly above a
+//!    rate limit;
+//! 2. [`LearnedLimit`] is the rate limit that a suppressor enforces;
+//! 3. [`Subset`] is the part of the tier that this replica sends to, from which the less busy of two random
+//!    upstreams is picked;
+//! 4. [`Upstream`] is what this replica knows of an upstream: its health, slow start and attempts in flight;
+//! 5. [`PendingRequests`] holds the requests with their attempts, and the retry budgets;
+//! 6. [`DiscoverySubscription`] keeps the list of upstreams up to date; `list_trust` decides how far the list
+//!    may be used without a subscription.
 //!
-//! [`Balancer`] joins them: ONE gate, [`Balancer::send`], lets attempts out, and ONE path,
-//! [`Balancer::finish`], ends requests unserved.
+//! [`Balancer`] joins them. Every attempt passes ONE function, [`Balancer::send`], and ONE function,
+//! [`Balancer::end_unserved`], ends requests unserved.
 
 use std::collections::BTreeMap;
 use std::ops::Range;
@@ -33,8 +36,8 @@
 /// Length of a bucket of the sliding window, in seconds. A suppression probability is cached for as long, so
 /// that each one is computed from whole buckets.
 const BUCKET_S: f64 = 0.1;
-/// Number of buckets in the window. Three seconds smooth random variation at a few calls a second, and a burst
-/// is soon forgotten.
+/// Number of buckets in the window. Three seconds smooth random variation at a few calls a second, and a
+/// burst is soon forgotten.
 const WINDOW_BUCKETS: usize = 30;
 /// Length of the window, in seconds.
 const WINDOW_S: f64 = BUCKET_S * WINDOW_BUCKETS as f64;
@@ -51,8 +54,8 @@
 /// The most that all tenants of a replica together may send beyond their fair shares while there is no
 /// congestion, as a fraction of the fair shares ...
 const MAX_EXCESS_FRACTION: f64 = 0.4;
-/// ... and the fair share in calls per second at which half of that is allowed: the fewer calls a replica sees,
-/// the later it notices congestion.
+/// ... and the fair share in calls per second at which half of that is allowed: the fewer calls a replica
+/// sees, the later it notices congestion.
 const HALF_EXCESS_CALLS_PER_S: f64 = 12.0;
 /// Value of requests over quota from which the excess is worth serving, so that limits have no ceiling.
 const UNCAPPED_MIN_OVER_QUOTA_VALUE: f64 = 0.5;
@@ -66,7 +69,8 @@
 const RATE_RECOVERY_CALLS_PER_S: f64 = 0.15;
 /// Factor by which a decrease multiplies a limit.
 const DECREASE_FACTOR: f64 = 0.85;
-/// Time between two decreases, in seconds; drawn at random so that replicas do not decrease at the same moment.
+/// Time between two decreases, in seconds; drawn at random so that replicas do not decrease at the same
+/// moment.
 const DECREASE_INTERVAL_S: Range<f64> = 0.25..0.5;
 /// Factor by which a decrease multiplies a limit in overload: overloaded servers stop serving within seconds.
 const OVERLOAD_DECREASE_FACTOR: f64 = 0.7;
@@ -74,8 +78,8 @@
 const OVERLOAD_CONGESTION: f64 = 0.7;
 /// ... to this fraction of the fair share, which an overloaded tier can still serve.
 const OVERLOAD_FLOOR_FRACTION: f64 = 0.25;
-/// Floor of a limit without a quota, as a fraction of the mean accepted rate. It is high because a call denied
-/// below the first tier makes the whole request above it fail.
+/// Floor of a limit without a quota, as a fraction of the mean accepted rate. It is high because a call
+/// denied below the first tier makes the whole request above it fail.
 const UNQUOTED_FLOOR_FRACTION: f64 = 0.7;
 /// Weight of one periodic update in the mean accepted rate.
 const MEAN_RATE_EWMA_WEIGHT: f64 = 0.02;
@@ -86,8 +90,8 @@
 /// congestion, because quotas do not tell the capacity. This does harm where the quotas are all that the tier
 /// can serve, until the congestion shows.
 const SPARE_CAPACITY_FRACTION: f64 = 0.5;
-/// How much longer calls of the local zone must take than calls of other zones before any calls leave it, as a
-/// fraction of their latency targets: more than the noise of some twenty calls ...
+/// How much longer calls of the local zone must take than calls of other zones before any calls leave it, as
+/// a fraction of their latency targets: more than the noise of some twenty calls ...
 const LOCAL_LATENCY_TOLERANCE: f64 = 0.03;
 /// ... plus this much for each unit of the cost of crossing zones.
 const LOCAL_LATENCY_TOLERANCE_PER_COST: f64 = 0.5;
@@ -101,8 +105,8 @@
 const REPLICAS_PER_UPSTREAM: f64 = 4.0;
 /// Minimum size of a subset: in a smaller one, two draws too often give the same upstream.
 const MIN_SUBSET_SIZE: usize = 8;
-/// Stride between the positions of consecutive replicas on the ring of upstreams, as a fraction of the number of
-/// replicas.
+/// Stride between the positions of consecutive replicas on the ring of upstreams, as a fraction of the number
+/// of replicas.
 const INVERSE_GOLDEN_RATIO: f64 = 0.618;
 /// Weight of one outcome in an upstream's failure rate; the second failure in a row stands out.
 const FAILURE_EWMA_WEIGHT: f64 = 0.2;
@@ -117,7 +121,8 @@
 const UNREACHABLE_CONNECT_FAILURES: u32 = 2;
 /// Maximum fraction of a zone group that is ejected at a time: the rest must carry the load.
 const MAX_EJECTED_FRACTION: f64 = 0.34;
-/// Duration of the first ejection, in seconds; doubled each time that the upstream fails again on its return ...
+/// Duration of the first ejection, in seconds; doubled each time that the upstream fails again on its return
+/// ...
 const INITIAL_EJECTION_S: f64 = 1.5;
 /// ... up to this.
 const MAX_EJECTION_S: f64 = 12.0;
@@ -172,13 +177,14 @@
 /// Latencies below this are counted as this, in seconds, so that their logarithm is finite.
 const MIN_LATENCY_S: f64 = 1e-4;
 /// Congestion sample of a call that failed or was late, and the maximum for other calls. Their sample is the
-/// natural logarithm of their latency over the typical one, roughly the number of doublings, so that a few heavy
-/// calls count little and a general delay counts much.
+/// natural logarithm of their latency over the typical one, roughly the number of doublings, so that a few
+/// heavy calls count little and a general delay counts much.
 const MAX_CONGESTION_SAMPLE: f64 = 2.0;
 /// Minimum congestion sample, of a call faster than typical.
 const MIN_CONGESTION_SAMPLE: f64 = -1.0;
-/// Failure rate of the tier from which an error counts as congestion further down and not as one bad upstream.
-/// Served calls must be slowed down as well: faults also make calls fail, and fewer calls do not repair them.
+/// Failure rate of the tier from which an error counts as congestion further down and not as one bad
+/// upstream. Served calls must be slowed down as well: faults also make calls fail, and fewer calls do not
+/// repair them.
 const CONGESTION_TIER_FAILURE_RATE: f64 = 0.1;
 /// Time that an attempt must have left to be worth sending, in seconds.
 const MIN_ATTEMPT_TIMEOUT_S: f64 = 0.001;
@@ -186,14 +192,16 @@
 const PERIODIC_UPDATE_INTERVAL_S: f64 = 0.2;
 /// Maximum number of pairs that are drawn until an upstream is no busier than the average of the subset.
 const MAX_PAIRS: usize = 4;
-/// Cost of a handshake when upstreams are compared, in attempts in flight. It counts only where handshakes have
-/// a cost; a replica with few calls then uses few upstreams of its subset, over connections that stay open.
+/// Cost of a handshake when upstreams are compared, in attempts in flight. It counts only where handshakes
+/// have a cost; a replica with few calls then uses few upstreams of its subset, over connections that stay
+/// open.
 const HANDSHAKE_COST: f64 = 1.0;
 /// Maximum number of draws for each candidate of a pair.
 const MAX_DRAWS: usize = 6;
 /// Minimum time before a failed subscription is opened again, in seconds; doubled with each failure.
 const MIN_RESUBSCRIBE_BACKOFF_S: f64 = 0.5;
-/// Random factor of that time where replicas must poll discovery.
+/// Random factor of that time where replicas must poll discovery; elsewhere the subscription is opened again
+/// at the next periodic update.
 const RESUBSCRIBE_JITTER: Range<f64> = 0.5..1.0;
 /// Longest wait for a subscription, as a fraction of the interval within which a replica must ask discovery.
 const SUBSCRIBE_WAIT_FRACTION: f64 = 0.4;
@@ -202,25 +210,33 @@
 
 // --- 1. Suppressor ---
 
+/// Numbers of calls in a bucket or in the window.
 #[derive(Debug, Clone, Copy, Default)]
 struct CallCounts {
     total: u32,
     accepted: u32,
 }
 
-/// The suppressed strategy of the source page for one key.
+/// A probabilistic rate limiter over a sliding window, for one tenant or for all together: the 'suppressed'
+/// strategy of the source page for one key.
 #[derive(Debug, Default)]
 struct Suppressor {
     bucket_s: f64,
+    /// The counts of the window, as a ring buffer indexed by bucket number.
     buckets: [CallCounts; WINDOW_BUCKETS],
+    /// The number of the latest bucket, counted from time 0.
     current_bucket: u64,
     /// The bucket of the first call.
     first_bucket: Option<u64>,
+    /// The sum of all buckets.
     window_counts: CallCounts,
-    /// The part of a call that the room under the soft limit must pass, and the bucket of the next cast.
+    /// The random fraction of a call that must be left under the soft limit for a call to fit.
     admission_threshold: f64,
+    /// The bucket from which the threshold is drawn again.
     threshold_redraw_bucket: u64,
+    /// The cached probability with which a call above the soft limit is rejected.
     suppression_probability: f64,
+    /// The bucket for which that probability was computed.
     probability_bucket: Option<u64>,
 }
 
@@ -229,6 +245,7 @@
         Self { bucket_s, ..Self::default() }
     }
 
+    /// Moves the window to the present and clears the buckets that it enters.
     fn advance(&mut self, now: f64) {
         let now_bucket = (now / self.bucket_s) as u64;
         let steps = now_bucket.saturating_sub(self.current_bucket).min(WINDOW_BUCKETS as u64);
@@ -246,17 +263,20 @@
         f64::from(self.window_counts.accepted) / self.observed_window_s()
     }
 
-    /// Seconds that the window has seen. A fresh copy's empty window would let seconds of overload through
-    /// whole before it fills, and all copies of a fresh fleet together.
+    /// The part of the window that has passed since the first call, in seconds and at least one. If a replica
+    /// that has just started divided by the whole window, it would let through seconds of overload before the
+    /// window fills, and all replicas of a fleet that has just started would do so together.
     fn observed_window_s(&self) -> f64 {
         let first_bucket = self.first_bucket.unwrap_or(self.current_bucket);
         let buckets = (self.current_bucket + 1).saturating_sub(first_bucket).min(WINDOW_BUCKETS as u64);
         (buckets as f64 * self.bucket_s).max(1.0)
     }
 
-    /// Whether a call fits under the soft limit; of a part of a call, that part of them. A limit of less than
-    /// a call a window let a whole one through each, several times the limits over many copies. The die is
-    /// cast once a window and admission: cast for each call, denied ones that come again would wear it down.
+    /// Whether a call fits under the soft limit. If there is room for only a fraction of a call, it fits with
+    /// that probability: with limits of less than one call per window, letting a whole call through in each
+    /// replica would add up to several times the limit over many replicas. The random threshold is drawn once
+    /// per window and again after each accepted call; if it were drawn for each call, clients that retry
+    /// denied calls would get through by repetition.
     fn fits_soft_limit(&mut self, now: f64, limit: f64, rng: &mut Rand64) -> bool {
         self.advance(now);
         self.first_bucket.get_or_insert(self.current_bucket);
@@ -267,7 +287,7 @@
         self.observed_window_s() * limit - f64::from(self.window_counts.accepted) > self.admission_threshold
     }
 
-    /// Decides on a call, which is to be counted next.
+    /// Decides whether to accept a call; the caller then counts it with [`Self::record`].
     fn admit(&mut self, now: f64, limit: &LearnedLimit, rng: &mut Rand64) -> bool {
         let fits_soft_limit = self.fits_soft_limit(now, limit.rate, rng);
         let hard_limit = limit.rate.max(limit.full_rate) * HARD_LIMIT_FACTOR;
@@ -275,6 +295,7 @@
         under_hard_limit && (fits_soft_limit || rng.rand_float() >= self.suppression_probability(limit.rate))
     }
 
+    /// Counts a call. After an accepted call, the next one draws a new threshold.
     fn record(&mut self, admitted: bool) {
         let bucket = &mut self.buckets[(self.current_bucket % WINDOW_BUCKETS as u64) as usize];
         bucket.total += 1;
@@ -286,13 +307,15 @@
         }
     }
 
+    /// The sum of a count over the last 1000 ms.
     fn last_second_count(&self, value: fn(&CallCounts) -> u32) -> f64 {
         let indices = (0..LAST_SECOND_BUCKETS)
             .map(|age| self.current_bucket.saturating_sub(age) % WINDOW_BUCKETS as u64);
         f64::from(indices.map(|index| value(&self.buckets[index as usize])).sum::<u32>())
     }
 
-    /// By the rate of calls: the larger of that of the window and that of the last 1000 ms.
+    /// The probability with which a call above the soft limit is rejected. It is computed once per bucket
+    /// from the rate of calls: the larger of the rate over the window and the rate over the last 1000 ms.
     fn suppression_probability(&mut self, limit: f64) -> f64 {
         if self.probability_bucket.replace(self.current_bucket) != Some(self.current_bucket) {
             let call_rate = f64::from(self.window_counts.total) / self.observed_window_s();
@@ -305,22 +328,27 @@
 
 // --- 2. Learned limit ---
 
-/// A rate limit learned from what becomes of the calls.
+/// A rate limit that adapts to the outcomes of the calls; all rates are in calls per second.
 #[derive(Debug, Clone, Copy, Default)]
 struct LearnedLimit {
+    /// The limit at present.
     rate: f64,
-    /// What the copy may need of a quota; 0 where there is none.
+    /// The largest rate that this replica may need of the quota; 0 if there is no quota.
     full_rate: f64,
-    /// The fair share of a quota, bare and with its chance, where there is one.
+    /// The quota divided by the number of replicas; the maximum value if there is no quota.
     fair_share: f64,
+    /// The floor of `rate` in light congestion, which falls as congestion approaches overload: the fair
+    /// share, for a single tenant with its margin for random variation. `None` if there is no quota.
     floor_rate: Option<f64>,
+    /// The maximum of `rate`.
     ceiling: f64,
-    /// The rate of late, in which a floor without a quota is reckoned.
+    /// The moving average of the accepted rate, of which the floor without a quota is a fraction.
     mean_accepted_rate: f64,
 }
 
 impl LearnedLimit {
-    /// Quotas count requests of the first tier; below it calls are more, and no part of a quota can be told.
+    /// The limit for a quota. Quotas count requests of the first tier. Below it there are more calls than
+    /// requests, and a replica's fraction of a quota is unknown, so the limit starts unlimited.
     fn new(settings: &Settings, quota: Option<f64>) -> Self {
         let Some(quota) = quota.filter(|&quota| settings.tier == 0 && quota > 0.0) else {
             return Self { rate: f64::MAX, fair_share: f64::MAX, ceiling: f64::MAX, ..Self::default() };
@@ -339,8 +367,8 @@
         }
     }
 
-    /// The limits of the tenants and, last, that of all together: at first what the copy may need of them all, in
-    /// congestion less.
+    /// The limits of the tenants and, as the last element, the limit shared by all of them. The shared limit
+    /// starts at the largest rate that this replica may need for all tenants; congestion lowers it.
     fn all_limits(settings: &Settings) -> Vec<Self> {
         let quotas = settings.tenants.iter().map(|tenant| tenant.quota);
         let mut limits: Vec<_> = quotas.clone().map(|quota| Self::new(settings, quota)).collect();
@@ -361,7 +389,7 @@
         limits
     }
 
-    /// This limit in place of another, of whose full rate it had learned to let through a part.
+    /// This limit, with the fraction of its full rate that the replaced limit `old` had learned to accept.
     fn with_learned_rate_of(self, old: &Self) -> Self {
         let rate = match (self.floor_rate, old.floor_rate) {
             (Some(_), Some(_)) => (self.full_rate * (old.rate / old.full_rate).max(0.0)).min(self.ceiling),
@@ -371,22 +399,26 @@
         Self { rate, mean_accepted_rate: old.mean_accepted_rate, ..self }
     }
 
+    /// Raises the limit after a call served in time.
     fn increase(&mut self) {
-        // Up to what is within the quotas the calls denied are the ones that count: come back from a jam faster.
+        // Below the full rate, the calls that are denied are within the quotas, so recover faster from
+        // overload.
         let increase =
             if self.rate < self.full_rate { RATE_RECOVERY_CALLS_PER_S } else { RATE_INCREASE_CALLS_PER_S };
         self.rate = (self.rate + increase).min(self.ceiling);
     }
 
+    /// Lowers the limit if congestion is high enough, but not below its floor.
     fn decrease(&mut self, congestion: f64, accepted_rate: f64) {
-        // A lone refusal or slow call happens on the quietest day; a cut for each one denies calls without
-        // need, which below the first tier fails the whole request above.
+        // Single refusals and slow calls happen without congestion. A decrease for each of them would deny
+        // calls needlessly, and below the first tier a denied call makes the whole request above it fail.
         let threshold = if self.floor_rate.is_some() { CONGESTION_THRESHOLD } else { OVERLOAD_CONGESTION };
         if congestion < threshold {
             return;
         }
-        // A fair share is kept through common trouble. The more calls meet congestion, the less it is what the
-        // servers can do; once they have choked only much less lets them recover.
+        // Moderate congestion leaves the floor close to the fair share. The more calls meet congestion, the
+        // less of it the servers can serve; once they are overloaded, only a much lower rate lets them
+        // recover.
         let severity =
             ((congestion - CONGESTION_THRESHOLD) / (OVERLOAD_CONGESTION - CONGESTION_THRESHOLD)).min(1.0);
         let floor_fraction = 1.0 - (1.0 - OVERLOAD_FLOOR_FRACTION) * severity;
@@ -399,50 +431,59 @@
     }
 }
 
-/// Fair shares that a copy may need: of shares drawn at random the largest is about so many (the logarithm of their
-/// number), and a copy held to one part denies calls that are within the quotas. Few copies are taken for even.
+/// How many times its fair share a replica may need. Of shares drawn at random, the largest is about the
+/// logarithm of their number times the mean, and a replica limited to exactly its fair share would deny calls
+/// that are within the quotas. A few replicas are assumed to be evenly loaded.
 fn load_imbalance_factor(replica_count: u32) -> f64 {
     f64::from(replica_count).ln().max(1.0)
 }
 
+/// A uniformly distributed random number.
 fn uniform(rng: &mut Rand64, range: Range<f64>) -> f64 {
     range.start + (range.end - range.start) * rng.rand_float()
 }
 
-// --- 3. Subset and pick ---
+// --- 3. Subset and selection ---
 
-/// The copy's part of the tier.
+/// The upstreams of the tier that this replica sends to.
 #[derive(Debug, Default)]
 struct Subset {
-    /// Members of the own zone, and of the others.
+    /// The upstreams in this replica's zone.
     local: ZoneGroup,
+    /// The upstreams in the other zones.
     remote: ZoneGroup,
-    /// The part of the ready upstreams that stands in the own zone.
+    /// The fraction of the ready upstreams that is in the local zone.
     local_upstream_fraction: f64,
-    /// The part of the calls that stays there; `None` before the first list.
+    /// The fraction of the calls that stays in the local zone; `None` before the first list.
     local_share: Option<f64>,
-    /// Upstreams ready in the first list, and the part of their capacity that is still had.
+    /// Number of ready upstreams in the first list that had any.
     initial_ready_count: Option<usize>,
+    /// The fraction of the capacity of those that is still available; scales the shared limit.
     capacity_fraction: f64,
-    /// Own calls in flight, to members or not.
+    /// This replica's attempts in flight, also to upstreams outside the subset.
     in_flight: u32,
 }
 
+/// The upstreams of a subset in the local zone, or in all others together.
 #[derive(Debug, Default)]
 struct ZoneGroup {
+    /// The slots of the upstreams.
     members: Arc<[usize]>,
-    /// Calls a second to a warm member, for the cold ones to go by.
+    /// The moving average of the sends per second to each upstream that is not in slow start; those in slow
+    /// start get a fraction of it.
     warm_send_rate: f64,
-    /// Calls to warm members since the last sweep.
+    /// Sends to upstreams not in slow start since the last periodic update.
     warm_sends: u32,
-    /// Time that calls take, failed ones at what they took, in parts of their aims.
+    /// The moving average of the duration of attempts over their latency target. Attempts that failed count
+    /// with their duration, and at least with the target unless they ended with an error response.
     relative_latency: f64,
 }
 
 impl Subset {
-    /// A site prices each crossing of zones, yet one zone may have more calls than its upstreams can carry,
-    /// and no copy is told: from an even spread on, more stays at home for as long as home is no slower than
-    /// elsewhere.
+    /// Adjusts the share of calls that stays in the local zone. The site charges for each call that crosses
+    /// zones, yet one zone may have more calls than its upstreams can serve, and no replica is told so.
+    /// Starting from an even distribution, the share therefore grows for as long as the local zone is no
+    /// slower than the others.
     fn update_local_share(&mut self, cross_zone_cost: f64, rng: &mut Rand64) {
         let Some(local_share) = &mut self.local_share else { return };
         let local_is_slower = self.local.relative_latency
@@ -454,13 +495,15 @@
             .clamp(self.local_upstream_fraction, 1.0);
     }
 
+    /// Number of upstreams in the subset.
     fn size(&self) -> usize {
         self.local.members.len() + self.remote.members.len()
     }
 }
 
-/// The part of some upstreams that a copy sends to where so many copies share them: an arc of a ring. The starts of
-/// the copies are evenly spaced; a stride spreads neighbours in number, which may share a zone, over the ring.
+/// The part of `slots` that this replica sends to if `sharing_replicas` replicas share them: a contiguous
+/// segment of a ring. The segments of the replicas start at evenly spaced positions. A stride spreads
+/// replicas with consecutive indices, which may be in the same zone, over the ring.
 fn ring_subset(settings: &Settings, sharing_replicas: f64, slots: &[usize]) -> Arc<[usize]> {
     let (count, replicas) = (slots.len(), u64::from(settings.replica_count));
     let size = (count as f64 * REPLICAS_PER_UPSTREAM / sharing_replicas.max(1.0)).ceil() as usize;
@@ -474,38 +517,49 @@
     from_start.take(size.clamp(MIN_SUBSET_SIZE.min(count), count)).copied().collect()
 }
 
+/// The greatest common divisor; a stride coprime to the number of replicas gives each its own position.
 fn gcd(a: u64, b: u64) -> u64 {
     if b == 0 { a } else { gcd(b, a % b) }
 }
 
 // --- 4. Upstream health ---
 
-/// What the copy knows of an upstream.
+/// What this replica knows of an upstream.
 #[derive(Debug)]
 struct Upstream {
+    /// Its latest entry in the list.
     member: Member,
+    /// Whether the list contains it.
     listed: bool,
+    /// Whether it is in this replica's zone.
     is_local: bool,
+    /// This replica's attempts in flight to it.
     in_flight: u32,
-    /// Connections thought to be open, and when one was last used.
+    /// Estimated number of open connections to it.
     connections: u32,
+    /// When a connection to it was last used.
     last_used: f64,
-    /// Latest answer, or the send that ended an idle time.
+    /// When it last responded, or when the first attempt after an idle time was sent.
     last_response: f64,
+    /// The moving average of its failures, 0 to 1.
     failure_rate: f64,
-    /// Failed connects since anything was last heard of it.
+    /// Failed connects since its last response; time-outs neither add to nor reset it.
     consecutive_connect_failures: u32,
-    /// Latency over the usual of its classes, and the latencies learned from.
+    /// The moving average of its latency as a multiple of the typical latency of the classes.
     slowness: f64,
+    /// Number of latencies that `slowness` was computed from.
     latency_samples: f64,
+    /// Until when outlier ejection excludes it.
     ejected_until: f64,
+    /// The duration of its next ejection, in seconds, before jitter.
     next_ejection_s: f64,
-    /// Chance of being taken when drawn, after its return.
+    /// The factor on its selection probability after its return from ejection, up to 1.
     return_probability: f64,
     /// When the latest request that it has accepted was sent.
     last_accepted_send: Option<f64>,
-    /// Sends that a cold upstream may still get, and when that was reckoned.
+    /// Number of attempts that it may be sent while in slow start.
     slow_start_tokens: f64,
+    /// When the tokens were last refilled.
     tokens_updated_at: f64,
 }
 
@@ -532,17 +586,19 @@
         }
     }
 
-    /// A new process knows nothing of what the old one did.
+    /// Discards what was learned of an upstream whose process has restarted.
     fn reset_after_restart(&mut self, now: f64, rng: &mut Rand64) {
         let (in_flight, is_local) = (self.in_flight, self.is_local);
         *self = Self { in_flight, is_local, ..Self::new(self.member, now, rng) };
     }
 
+    /// Whether the list contains it as ready.
     fn is_usable(&self) -> bool {
         self.listed && self.member.phase == Phase::Ready
     }
 
-    /// The part of its capacity that it surely has: it rises at least evenly from the cold share.
+    /// The fraction of its capacity that it is certain to have: in slow start it rises at least linearly from
+    /// the minimum fraction.
     fn slow_start_fraction(&self, now: f64, settings: &Settings) -> f64 {
         let Some(started) = self.member.started_at else { return 1.0 };
         let age = (now - started.as_secs_f64()).max(0.0);
@@ -551,21 +607,22 @@
         (min_fraction + (1.0 - min_fraction) * age / duration.as_secs_f64().max(1e-6)).min(1.0)
     }
 
-    /// Whether it is neither ejected nor stalled, where calls usually take so long.
+    /// Whether it is neither ejected nor stalled, given the typical latency of the calls to send.
     fn is_healthy(&self, now: f64, typical_latency_s: f64) -> bool {
         let stalled = self.in_flight > 0
             && now - self.last_response > (typical_latency_s * STALL_LATENCY_FACTOR).max(MIN_STALL_S);
         self.ejected_until <= now && !stalled
     }
 
-    /// Whether an open connection has room for another attempt.
+    /// Whether an open connection has a free stream for another attempt.
     fn has_stream_capacity(&self, now: f64, capabilities: &Capabilities) -> bool {
         let max_streams = self.connections.saturating_mul(capabilities.max_concurrent_streams);
         self.in_flight < max_streams
             && (self.in_flight > 0 || now - self.last_used < capabilities.keepalive_timeout.as_secs_f64())
     }
 
-    /// What another attempt would meet: own calls in flight, and a handshake where no connection has room.
+    /// The load that another attempt would meet: this replica's attempts in flight, and a handshake if no
+    /// connection has a free stream.
     fn selection_cost(&self, now: f64, settings: &Settings) -> f64 {
         let needs_handshake =
             settings.costs.handshake > 0.0 && !self.has_stream_capacity(now, &settings.capabilities);
@@ -573,40 +630,52 @@
     }
 }
 
-// --- 5. Request ledger ---
+// --- 5. Pending requests ---
 
+/// An attempt of a request.
 #[derive(Debug)]
 struct Attempt {
+    /// The slot of its upstream.
     slot: usize,
+    /// The upstream's list entry when the attempt was sent.
     member: Member,
     sent_at: f64,
-    /// Seconds that it was given.
+    /// The time that it may take, in seconds.
     timeout_s: f64,
+    /// How it ended; `None` while it is in flight.
     outcome: Option<Outcome>,
+    /// Whether its cancellation has been requested.
     cancelled: bool,
 }
 
+/// A request that has not ended or still has attempts in flight.
 #[derive(Debug)]
 struct PendingRequest {
     class: ClassId,
-    /// That of its class when it arrived, or the strictest.
+    /// The idempotency of its class on arrival; non-idempotent if that has changed since.
     idempotency: Idempotency,
+    /// The index of its tenant.
     tenant: usize,
-    /// The time until which an answer is worth waiting for.
+    /// The time until which an answer still has a value.
     answer_deadline: f64,
+    /// All its attempts, in the order sent.
     attempts: Vec<Attempt>,
+    /// Number of its attempts in flight.
     in_flight: u32,
+    /// Whether it has ended for the client.
     ended: bool,
+    /// Whether a streamed response has begun.
     response_started: bool,
 }
 
 impl PendingRequest {
-    /// The first attempt not proved never to have run: it binds those that follow.
+    /// The first attempt that is not known to have never been executed; it restricts which attempts may
+    /// follow.
     fn first_possibly_executed(&self) -> Option<&Attempt> {
         self.attempts.iter().find(|attempt| attempt.outcome.is_none_or(|outcome| !outcome.never_ran()))
     }
 
-    /// Calls off the attempts still out, but for the one to keep.
+    /// Cancels the attempts in flight except the given one.
     fn cancel_attempts(&mut self, id: RequestId, except: Option<AttemptNumber>, actions: &mut Vec<Action>) {
         for (number, attempt) in (0..).map(AttemptNumber).zip(&mut self.attempts) {
             if Some(number) != except && attempt.outcome.is_none() && !attempt.cancelled {
@@ -617,29 +686,34 @@
     }
 }
 
-/// The requests held, and the budgets for further attempts.
+/// The pending requests, and the retry budgets.
 #[derive(Debug, Default)]
 struct PendingRequests {
     by_id: FxHashMap<RequestId, PendingRequest>,
+    /// The budget for retries of attempts that may have been executed.
     retry_tokens: f64,
+    /// The budget for retries of attempts that were certainly not executed.
     reroute_tokens: f64,
 }
 
-/// The middle latency of a class in good times.
+/// The typical latency of a class without congestion.
 #[derive(Debug, Clone, Copy, Default)]
 struct TypicalLatency {
-    /// Its natural logarithm.
+    /// The moving average of the natural logarithm of the latency in seconds.
     ln_seconds: f64,
+    /// Number of latencies that it was computed from.
     samples: f64,
 }
 
 impl TypicalLatency {
+    /// Adds the latency of a served call with a weight of `step`, limited and, under congestion, reduced.
     fn record(&mut self, duration_s: f64, step: f64, congested: bool) {
         self.samples += 1.0;
         let deviation = duration_s.ln() - self.ln_seconds;
         let step =
             if congested { step / CONGESTED_LEARNING_DIVISOR } else { step }.min(MAX_TYPICAL_LATENCY_STEP);
-        // The first is taken whole, others as congestion counts them: in quiet times congestion then rests at none.
+        // The first sample is taken as it is. Later ones are clamped like congestion samples, so that
+        // congestion settles at zero in quiet times.
         let (min_deviation, max_deviation) = if self.samples > 1.0 {
             (MIN_CONGESTION_SAMPLE, MAX_CONGESTION_SAMPLE)
         } else {
@@ -648,6 +722,7 @@
         self.ln_seconds += step.max(1.0 / self.samples) * deviation.clamp(min_deviation, max_deviation);
     }
 
+    /// The typical latency in seconds; 0 if it is unknown.
     fn seconds(self) -> f64 {
         if self.samples > 0.0 { self.ln_seconds.exp() } else { 0.0 }
     }
@@ -655,48 +730,61 @@
 
 // --- 6. Discovery ---
 
-/// Keeps the subscription open.
+/// The state of the subscription to discovery.
 #[derive(Debug, Default)]
 struct DiscoverySubscription {
+    /// Whether it has delivered a list since it was opened.
     subscribed: bool,
+    /// When to open it next, unless it delivers a list before.
     retry_at: f64,
+    /// The present backoff between failed subscriptions.
     backoff_s: f64,
 }
 
 // --- The balancer ---
 
-/// One copy's decisions.
+/// The state machine that makes the decisions of one replica of the balancer.
 #[derive(Debug)]
 pub struct Balancer {
     settings: Settings,
     rng: Rand64,
+    /// One per tenant and, as the last element, the one shared by all tenants.
     suppressors: Vec<Suppressor>,
+    /// The limits of the suppressors, in the same order.
     limits: Vec<LearnedLimit>,
     subset: Subset,
+    /// The known upstreams; a slot is an index in this slab.
     upstreams: Slab<Upstream>,
     slot_by_id: BTreeMap<UpstreamId, usize>,
+    /// The slots of all usable upstreams of the tier.
     ready_slots: Vec<usize>,
-    /// Share of the calls that met congestion lately, the same of those served, and the time of the next drop for it.
+    /// The moving average of the congestion samples of recent calls.
     congestion: f64,
+    /// The same of the calls that were served.
     served_congestion: f64,
+    /// The earliest time at which congestion may decrease the limits again.
     next_decrease_at: f64,
+    /// The moving average of the failures of all upstreams, 0 to 1.
     tier_failure_rate: f64,
+    /// The moving average of the slowness of all upstreams.
     tier_slowness: f64,
-    /// Slowness of the kinds of machine measured, and of those of no known kind: what is expected of an upstream
-    /// not yet measured.
+    /// The slowness of each machine type measured; `None` stands for upstreams of unknown type. It is assumed
+    /// for an upstream that has not been measured yet.
     machine_type_slowness: FxHashMap<Option<MachineTypeId>, f64>,
+    /// The typical latency of each class.
     typical_latencies: Vec<TypicalLatency>,
     requests: PendingRequests,
     subscription: DiscoverySubscription,
     list_trust: ListTrust,
+    /// The largest weight of the ready upstreams.
     max_weight: f64,
 }
 
 impl Balancer {
-    /// A copy that knows nothing yet but its settings.
+    /// Creates the state machine of a replica that has no list of upstreams yet. Equal seeds give equal
+    /// random draws.
     ///
-    /// # Errors
-    /// The settings make no sense.
+    /// # Errors The settings are invalid.
     pub fn new(settings: Settings, seed: u64) -> Result<Self, SettingsError> {
         settings.validate()?;
         let limits = LearnedLimit::all_limits(&settings);
@@ -732,7 +820,7 @@
         })
     }
 
-    /// Takes in an event and adds what is to be done to `actions`.
+    /// Processes an event and appends the resulting actions to `actions`.
     pub fn handle(&mut self, now: Timestamp, event: Event, actions: &mut Vec<Action>) {
         let now = now.as_secs_f64();
         match event {
@@ -770,20 +858,21 @@
         }
     }
 
-    /// Puts new settings in force. What was learned stays, and so do the requests held; settings that cannot succeed
-    /// those in force are passed over.
+    /// Replaces the settings. What was learned and the pending requests are kept; settings that are not a
+    /// valid replacement are ignored.
     fn apply_settings(&mut self, now: f64, settings: Settings, actions: &mut Vec<Action>) {
         if settings.validate_replacement_of(&self.settings).is_err() {
             return;
         }
         for pending in self.requests.by_id.values_mut() {
-            // A request that began under one rule and goes on under another is repeated under neither.
+            // A pending request whose class changes its idempotency must not be executed twice under either
+            // rule.
             let class_index = pending.class.0;
             if settings.classes[class_index].idempotency != self.settings.classes[class_index].idempotency {
                 pending.idempotency = Idempotency::NonIdempotent;
             }
         }
-        // New tenants stand behind the others and before the limit of all.
+        // New tenants come after the present ones and before the shared limit.
         let limits = LearnedLimit::all_limits(&settings);
         let shared_index = self.limits.len() - 1;
         let added = &limits[shared_index..settings.tenants.len()];
@@ -794,7 +883,7 @@
         }
         self.typical_latencies.resize(settings.classes.len(), TypicalLatency::default());
         if settings.zone != self.settings.zone {
-            // What was learned of the own zone and of the others tells nothing of the new ones.
+            // What was learned of the local zone and the others does not apply to the new ones.
             let Subset { initial_ready_count, capacity_fraction, in_flight, .. } = self.subset;
             self.subset = Subset { initial_ready_count, capacity_fraction, in_flight, ..Subset::default() };
         }
@@ -815,11 +904,13 @@
 
     // --- Discovery ---
 
+    /// Opens a new subscription at once, without a backoff.
     fn resubscribe(&mut self, now: f64, actions: &mut Vec<Action>) {
         self.subscription = DiscoverySubscription::default();
         self.subscribe(now, actions);
     }
 
+    /// Opens a subscription, if this site has them.
     fn subscribe(&mut self, now: f64, actions: &mut Vec<Action>) {
         if self.settings.discovery == DiscoveryMode::Subscribe {
             actions.push(Action::SubscribeToDiscovery);
@@ -827,6 +918,8 @@
         }
     }
 
+    /// The longest time, in seconds, that a subscription may take to deliver a list before it is opened
+    /// again.
     fn subscribe_wait_s(&self) -> f64 {
         self.settings
             .rules
@@ -835,6 +928,7 @@
             * SUBSCRIBE_WAIT_FRACTION
     }
 
+    /// Updates the upstreams from a list, or the trust in the list and the backoff after a failure.
     fn apply_discovery_update(&mut self, now: f64, update: DiscoveryUpdate, actions: &mut Vec<Action>) {
         if matches!(update, DiscoveryUpdate::Full(_) | DiscoveryUpdate::Stale(_)) {
             self.upstreams.iter_mut().for_each(|(_, upstream)| upstream.listed = false);
@@ -848,8 +942,9 @@
                     DiscoveryUpdate::Unreachable => self.list_trust.discovery_unreachable(now),
                     _ => self.list_trust.subscription_lost(now, &self.settings.rules),
                 }
-                // Copies whose calls fail together must not come back together; what is pushed counts meanwhile, so
-                // that a watch which stood is opened anew at once, and one that failed before at the next sweep.
+                // Replicas whose calls fail together must not all retry at the same moment. Pushed lists
+                // count as delivered even without a subscription, so a subscription that was up is reopened
+                // at once, and one that had failed before is retried at the next periodic update.
                 let resubscribe_now =
                     self.subscription.subscribed && self.settings.rules.max_poll_interval.is_none();
                 let max_backoff_s = self.subscribe_wait_s().max(MIN_RESUBSCRIBE_BACKOFF_S);
@@ -880,6 +975,7 @@
         }
     }
 
+    /// Adds or updates the upstream of a list entry.
     fn apply_member(&mut self, now: f64, member: Member) {
         if let Some(&slot) = self.slot_by_id.get(&member.id) {
             let upstream = &mut self.upstreams[slot];
@@ -895,7 +991,7 @@
         }
     }
 
-    /// Lays out the subset anew, by a list or new settings.
+    /// Recomputes the subset after a list or settings change.
     fn rebuild_subset(&mut self, actions: &mut Vec<Action>) {
         self.ready_slots.clear();
         self.max_weight = 1e-9;
@@ -918,7 +1014,7 @@
         let (local, remote): (Vec<_>, Vec<_>) =
             self.ready_slots.iter().partition(|&&slot| self.upstreams[slot].is_local);
         self.subset.local_upstream_fraction = local.len() as f64 / self.ready_slots.len().max(1) as f64;
-        // Below the first tier the clients stand where the tier above was spread to.
+        // Below the first tier, the callers are already distributed over the zones by the tier above.
         self.subset.local_share.get_or_insert(if self.settings.tier == 0 {
             self.subset.local_upstream_fraction
         } else {
@@ -930,10 +1026,11 @@
         self.subset.remote.members = ring_subset(&self.settings, replicas, &remote);
     }
 
-    // --- A request's way ---
+    // --- Handling a request ---
 
+    /// Admits a new request and sends its first attempt, or ends it unserved.
     fn receive_request(&mut self, now: f64, request: Request, actions: &mut Vec<Action>) {
-        // An id in use or a class that the settings do not have is the embedding program's mistake.
+        // An id in use or an unknown class is an error of the embedding program.
         if self.requests.by_id.contains_key(&request.id) {
             return;
         }
@@ -944,7 +1041,8 @@
         let tenant = tenant.min(self.settings.tenants.len().saturating_sub(1));
         let (target_time, deadline) =
             (now + class.latency_target.as_secs_f64(), now + request.time_left.as_secs_f64());
-        // Where no deadline is passed on, a server's slot would be held for a client long gone.
+        // If deadlines are not propagated, the server would go on working for a client that may have given
+        // up.
         let deadline_unknown = self.settings.tier > 0 && !self.settings.propagates_deadline;
         let pending = PendingRequest {
             class: request.class,
@@ -964,7 +1062,7 @@
         if !self.admit(now, tenant) {
             return self.end_unserved(request.id, UnservedReason::Suppressed, actions);
         }
-        // Only admitted calls earn further attempts: a storm of denied ones must not pay for them.
+        // Only admitted calls add to the retry budgets: a flood of denied calls must not pay for retries.
         self.requests.retry_tokens =
             (self.requests.retry_tokens + RETRY_TOKENS_PER_REQUEST).min(MAX_RETRY_TOKENS);
         self.requests.reroute_tokens =
@@ -974,19 +1072,21 @@
         }
     }
 
-    /// A tenant over its fair share must also find room in what all tenants of this copy may send: the chance
-    /// allowed to each of many small limits, over all copies, would add up to more than the tier.
+    /// Whether a call of this tenant is admitted. A tenant above its fair share must also fit under the limit
+    /// that all tenants of this replica share: the margins for random variation of many small limits would
+    /// add up, over all replicas, to more than the tier can serve.
     fn admit(&mut self, now: f64, tenant: usize) -> bool {
         let Self { suppressors, limits, rng, subset: Subset { capacity_fraction, .. }, .. } = self;
         let shared_index = limits.len() - 1;
-        // Each tenant's part of what they may send together is its own.
+        // A tenant within its own fraction of the shared limit does not depend on what the others send.
         let shared_rate = limits[shared_index].rate * *capacity_fraction;
         let scale = (shared_rate / limits[shared_index].fair_share).min(1.0);
         let within_fair_share =
             suppressors[tenant].fits_soft_limit(now, limits[tenant].fair_share * scale, rng);
         let mut admitted = suppressors[tenant].admit(now, &limits[tenant], rng);
         if admitted && shared_index != tenant {
-            // After a drop the window still holds what the old limit let in: by it alone all would wait for seconds.
+            // After a decrease the window still holds the calls accepted under the old limit. If the window
+            // alone decided, all calls would be denied for seconds.
             let shared_room = suppressors[shared_index].fits_soft_limit(now, shared_rate, rng)
                 || suppressors[shared_index].last_second_count(|bucket| bucket.accepted) < shared_rate;
             admitted = within_fair_share || shared_room;
@@ -996,11 +1096,13 @@
         admitted
     }
 
+    /// Sends an attempt to a picked upstream; returns whether one was sent.
     fn pick_and_send(&mut self, now: f64, id: RequestId, actions: &mut Vec<Action>) -> bool {
         self.pick_upstream(now, id).is_some_and(|slot| self.send(now, id, slot, actions))
     }
 
-    /// Picks an upstream for a request: where it may go at all if it may have run, else by its zone.
+    /// Picks an upstream for a request. If the request may have been executed and is deduplicated only within
+    /// a zone or cell, it picks one that shares that record; otherwise it picks by zone.
     fn pick_upstream(&mut self, now: f64, id: RequestId) -> Option<usize> {
         let pending = self.requests.by_id.get(&id)?;
         let (idempotency, first_possibly_executed) = (pending.idempotency, pending.first_possibly_executed());
@@ -1019,8 +1121,8 @@
         self.pick_less_busy(now, id, &members)
     }
 
-    /// Two draws from the own zone's members or, for what the own zone's suppressor declines, from the others;
-    /// then whatever is left.
+    /// Picks from the local zone or, with the probability that the local share leaves, from the other zones;
+    /// then from the zones not chosen; then any upstream that may be sent to.
     fn pick_by_zone(&mut self, now: f64, id: RequestId) -> Option<usize> {
         let local = Arc::clone(&self.subset.local.members);
         let remote = Arc::clone(&self.subset.remote.members);
@@ -1033,9 +1135,9 @@
             .or_else(|| self.pick_any_allowed(now, id, other))
     }
 
-    /// The less busy of two random members, by own calls in flight. Where both are busier than the members
-    /// are on average, two others are drawn, a few times: many copies that each see few calls would otherwise
-    /// pile on a server by chance until it chokes.
+    /// Power of two choices: the less busy of two random upstreams, by this replica's attempts in flight. If
+    /// both are busier than the average of the subset, another two are drawn, up to [`MAX_PAIRS`] times: many
+    /// replicas that each see few calls would otherwise overload a server by chance.
     fn pick_less_busy(&mut self, now: f64, id: RequestId, slots: &[usize]) -> Option<usize> {
         let mut best: Option<usize> = None;
         let average = f64::from(self.subset.in_flight) / self.subset.size().max(1) as f64;
@@ -1051,6 +1153,8 @@
         best
     }
 
+    /// Draws random slots until one is accepted, with a probability that depends on its upstream's weight,
+    /// slow start, return from ejection and slowness.
     fn draw_candidate(&mut self, now: f64, id: RequestId, slots: &[usize]) -> Option<usize> {
         let typical_latency_s = self.typical_latencies[self.requests.by_id.get(&id)?.class.0].seconds();
         if slots.is_empty() {
@@ -1076,14 +1180,15 @@
         None
     }
 
-    /// Latency over the usual: its own or, before the first, that of its kind.
+    /// An upstream's latency as a multiple of the typical one; that of its machine type until it has been
+    /// measured.
     fn slowness(&self, upstream: &Upstream) -> f64 {
         let machine_type_slowness =
             || self.machine_type_slowness.get(&upstream.member.machine_type).copied().unwrap_or(1.0);
         if upstream.latency_samples > 0.0 { upstream.slowness } else { machine_type_slowness() }
     }
 
-    /// A member that may be sent to at all, the least busy, when draws found none.
+    /// The least busy upstream that may be sent to at all, for when the random draws found none.
     fn pick_any_allowed(&mut self, now: f64, id: RequestId, slots: &[usize]) -> Option<usize> {
         let is_allowed = |&slot: &usize| {
             let upstream = &self.upstreams[slot];
@@ -1095,9 +1200,10 @@
         remaining.into_iter().find(|&slot| self.slow_start_allows(now, slot))
     }
 
-    /// Whether a cold upstream's budget holds another send. A copy gives it, of what a warm peer gets from
-    /// the same copy, the part that it surely can do; summed over the copies that stays within its capacity,
-    /// whoever else sends.
+    /// Whether an upstream in slow start has a token for another attempt; others always do. Its tokens arrive
+    /// at the rate at which this replica sends to an upstream not in slow start, times the fraction of its
+    /// capacity that it is certain to have. The sum over all replicas stays within its capacity, whoever else
+    /// sends to it.
     fn slow_start_allows(&mut self, now: f64, slot: usize) -> bool {
         let upstream = &mut self.upstreams[slot];
         let slow_start_fraction = upstream.slow_start_fraction(now, &self.settings);
@@ -1113,14 +1219,15 @@
         upstream.slow_start_tokens >= 1.0
     }
 
-    /// The ONE gate that every attempt passes; it keeps the rules on effects, drains and cold upstreams.
+    /// Sends an attempt. Every attempt passes this ONE function, which enforces the rules on repeated
+    /// execution, draining upstreams and slow start.
     fn send(&mut self, now: f64, id: RequestId, slot: usize, actions: &mut Vec<Action>) -> bool {
         if !self.slow_start_allows(now, slot) {
             return false;
         }
         let Some(pending) = self.requests.by_id.get_mut(&id) else { return false };
         let upstream = &mut self.upstreams[slot];
-        // A time-out at the deadline, off by a rounding, must not send the request once more.
+        // An attempt that timed out at the deadline must not be sent again because of a rounding difference.
         let timeout = pending.answer_deadline - now;
         if pending.ended
             || pending.response_started
@@ -1133,14 +1240,14 @@
         {
             return false;
         }
-        // A repeat whose connection comes up after the window would run again.
+        // If the connection opens after the deduplication window, the request could be executed again.
         let start_within = match (pending.idempotency, pending.first_possibly_executed()) {
             (Idempotency::Deduplicated { window, .. }, Some(first_possibly_executed)) => {
                 first_possibly_executed.sent_at + window.as_secs_f64() - now
             }
             _ => timeout,
         };
-        // Nor may its upstream have begun to drain meanwhile, unheard of.
+        // By then the upstream must not have begun to drain without this replica knowing.
         let trusted_for = self
             .list_trust
             .sends_allowed_until(upstream.last_accepted_send)
@@ -1179,7 +1286,8 @@
         true
     }
 
-    /// The ONE path that ends a request unserved: refused where that is true, failed otherwise.
+    /// Ends a request unserved: refused if the client may safely retry, failed otherwise. This is the ONE
+    /// function that does so.
     fn end_unserved(&mut self, id: RequestId, reason: UnservedReason, actions: &mut Vec<Action>) {
         let Some(pending) = self.requests.by_id.get(&id).filter(|pending| !pending.ended) else { return };
         let safe_to_retry = pending.first_possibly_executed().is_none()
@@ -1187,7 +1295,8 @@
                 pending.idempotency,
                 Idempotency::Idempotent | Idempotency::Deduplicated { scope: DedupScope::All, .. }
             );
-        // Told to stay away past its time, a client never comes back; tries within an aim feed the congestion.
+        // A client that is told to wait for longer than its request lasts never comes back, and retries
+        // within the latency target would add to the congestion.
         let latency_target = self.settings.classes[pending.class.0].latency_target;
         let retry_after = self.settings.capabilities.max_retry_after.map(|max| max.min(latency_target));
         let refusal = Action::Refuse { request: id, retry_after };
@@ -1196,7 +1305,7 @@
         self.close_request(id, actions);
     }
 
-    /// Marks a request as ended and calls off what is still out for it.
+    /// Marks a request as ended and cancels its attempts in flight.
     fn close_request(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         let Some(pending) = self.requests.by_id.get_mut(&id) else { return };
         pending.ended = true;
@@ -1208,6 +1317,7 @@
         }
     }
 
+    /// Records the end of an attempt, then retries the request or ends it if nothing else is in flight.
     fn attempt_ended(&mut self, now: f64, ended: AttemptEnded, actions: &mut Vec<Action>) {
         let AttemptEnded { request: id, attempt: number, outcome, request_ended, .. } = ended;
         let duration_s = ended.duration.as_secs_f64();
@@ -1225,11 +1335,13 @@
                 upstream.last_accepted_send.map_or(attempt.sent_at, |accepted| accepted.max(attempt.sent_at)),
             );
         }
-        // By its own time: what was lost before it, on connections or elsewhere, tells nothing of congestion here.
+        // Judged by the attempt's own duration: time lost before it, on connections or on other upstreams, is
+        // no sign of congestion at this upstream.
         let late = duration_s > self.settings.classes[class.0].latency_target.as_secs_f64();
         let (request_ended, none_in_flight) = (pending.ended || request_ended, pending.in_flight == 0);
-        // Given less time than such calls take, it tells of its short deadline: counted like others, the calls of
-        // one tenant with short deadlines would pass for congestion and have all tenants denied.
+        // An attempt with a timeout below the typical latency fails because of its short deadline. If such
+        // failures counted, one tenant's calls with short deadlines would look like congestion and deny calls
+        // of all tenants.
         let short_deadline = matches!(outcome, Outcome::Error | Outcome::TimedOut)
             && timeout_s < self.typical_latencies[class.0].seconds();
         self.record_outcome(now, slot, class, &ended, short_deadline, actions);
@@ -1244,15 +1356,16 @@
         if none_in_flight && !retried {
             self.end_unserved(id, UnservedReason::AttemptFailed(outcome), actions);
         }
-        // A call that was rejected and went elsewhere has met no congestion yet: behind a broken link or one
-        // full server the tenant's limit would drop although its calls are served. Refusals by two servers in
-        // a row are congestion.
+        // A call that was rejected and is retried elsewhere is not a sign of congestion yet: with a broken
+        // link or one full server, the tenant's limit would be decreased although its calls are served.
+        // Refusals by two servers in a row are congestion.
         let repeated_refusal = outcome == Outcome::Refused && number.0 > 0;
         if !short_deadline && (repeated_refusal || !(retried && outcome.never_ran())) {
             self.update_congestion(now, class, tenant, outcome, duration_s, late);
         }
     }
 
+    /// Sends another attempt if the outcome and the budget allow it; returns whether one was sent.
     fn retry(&mut self, now: f64, id: RequestId, outcome: Outcome, actions: &mut Vec<Action>) -> bool {
         let Some(pending) = self.requests.by_id.get(&id) else { return false };
         let worth_retrying = outcome != Outcome::NotSent && now < pending.answer_deadline;
@@ -1265,7 +1378,8 @@
         sent
     }
 
-    /// What an outcome tells of its upstream and of the zones; nothing if it was `short_deadline`.
+    /// Updates the upstream's health and the latency of its zone group from an outcome; if the attempt had a
+    /// `short_deadline`, only the count of its attempts and connections.
     fn record_outcome(
         &mut self,
         now: f64,
@@ -1280,7 +1394,7 @@
         let upstream = &mut self.upstreams[slot];
         upstream.in_flight = upstream.in_flight.saturating_sub(1);
         upstream.last_used = now;
-        // A connection goes with what broke it and, where it carries one attempt, with an answer given up.
+        // The connection is closed if it broke, or if it carries only one attempt and that was abandoned.
         let given_up = matches!(outcome, Outcome::TimedOut | Outcome::Withdrawn);
         if matches!(outcome, Outcome::ConnectFailed | Outcome::Reset)
             || (given_up && self.settings.capabilities.max_concurrent_streams == 1)
@@ -1291,7 +1405,8 @@
         if short_deadline || matches!(outcome, Outcome::NotSent | Outcome::Withdrawn) {
             return;
         }
-        // Who rejects calls has none in flight: uncounted, it would draw ever more of them.
+        // An upstream that rejects calls has none in flight; if rejections did not count as failures, it
+        // would be picked more and more often.
         let failed = outcome != Outcome::Good;
         match outcome {
             Outcome::ConnectFailed => upstream.consecutive_connect_failures += 1,
@@ -1300,8 +1415,9 @@
         }
         let unreachable = upstream.consecutive_connect_failures >= UNREACHABLE_CONNECT_FAILURES;
         upstream.failure_rate += FAILURE_EWMA_WEIGHT * (f64::from(u8::from(failed)) - upstream.failure_rate);
-        // A failed connect is that upstream's own, as is a refusal: behind a broken link, counting it for the tier
-        // would make many lost upstreams look like congestion below, and none would be ejected.
+        // A failed connect or a refusal concerns this upstream alone. If it counted for the tier, the many
+        // upstreams behind a broken link would look like congestion further down, and none of them would be
+        // ejected.
         if !matches!(outcome, Outcome::ConnectFailed | Outcome::Refused) {
             self.tier_failure_rate +=
                 TIER_EWMA_WEIGHT * (f64::from(u8::from(failed)) - self.tier_failure_rate);
@@ -1339,7 +1455,7 @@
         }
     }
 
-    /// What the end of a call tells of the congestion that it met, and so of the limits.
+    /// Updates the congestion estimate from the end of a call, and the limits from the congestion.
     fn update_congestion(
         &mut self,
         now: f64,
@@ -1361,13 +1477,15 @@
         let sample = if signals_congestion {
             MAX_CONGESTION_SAMPLE
         } else if outcome == Outcome::Good && self.settings.tier == 0 {
-            // Shed early at the first tier only: a call denied below is work lost above.
+            // Only the first tier reacts to rising latency: a call denied below it wastes the work done
+            // above.
             (duration_s.max(MIN_LATENCY_S).ln() - self.typical_latencies[class.0].ln_seconds)
                 .clamp(MIN_CONGESTION_SAMPLE, MAX_CONGESTION_SAMPLE)
         } else {
             0.0
         };
-        // The tenants meet the same tier: a small one's own calls are too few to tell of a jam in time.
+        // All tenants share one estimate because they call the same tier, and a small tenant's own calls are
+        // too few to detect overload in time.
         let shared_index = self.settings.tenants.len();
         let rate = self.suppressors[shared_index].accepted_rate(now);
         let weight = (1.0 / (rate * CONGESTION_WINDOW_S)).min(MAX_CONGESTION_SAMPLE_WEIGHT);
@@ -1387,7 +1505,8 @@
                 limit.decrease(self.congestion, suppressor.accepted_rate(now));
             }
         } else if !congested && !signals_congestion && outcome == Outcome::Good {
-            // A drop is for all; a tenant denied whole has no calls of its own left to come back with.
+            // A decrease applies to all limits. A tenant whose calls are all denied has none that could raise
+            // its limit again, so the calls of others raise it.
             for (index, limit) in self.limits.iter_mut().enumerate() {
                 let fully_suppressed =
                     limit.rate < limit.fair_share && self.suppressors[index].accepted_rate(now) == 0.0;
@@ -1398,7 +1517,8 @@
         }
     }
 
-    /// Ejects an upstream where it fails and the tier does not; one out of reach in any case.
+    /// Ejects an upstream that fails more often than the tier does; an unreachable one is ejected even if
+    /// the whole tier fails or many others are ejected.
     fn eject_if_failing(&mut self, now: f64, slot: usize, unreachable: bool) -> Option<Duration> {
         let upstream = &self.upstreams[slot];
         let tier_margin =
@@ -1420,9 +1540,10 @@
         Some(Duration::from_secs_f64(duration_s))
     }
 
-    // --- Sweep ---
+    // --- Periodic update ---
 
-    /// Ends what still waits for a connection to upstreams that the list no longer vouches for.
+    /// Reports a changed level of trust, and aborts pending connects to upstreams that the list no longer
+    /// allows to send to.
     fn check_list_trust(&mut self, now: f64, actions: &mut Vec<Action>) {
         if let Some(level) = self.list_trust.level_changed(now) {
             actions.push(Action::Report(Report::ListTrustChanged(level)));
@@ -1437,6 +1558,8 @@
         }
     }
 
+    /// Sets the next timer, retries a failed subscription, and updates moving averages and the available
+    /// capacity.
     fn periodic_update(&mut self, now: f64, actions: &mut Vec<Action>) {
         actions.push(Action::SetTimer(Duration::from_secs_f64(PERIODIC_UPDATE_INTERVAL_S)));
         if !self.subscription.subscribed && now >= self.subscription.retry_at {
@@ -1447,7 +1570,8 @@
             limit.mean_accepted_rate +=
                 MEAN_RATE_EWMA_WEIGHT * (suppressor.accepted_rate(now) - limit.mean_accepted_rate);
         }
-        // Quotas are parts of a whole tier: while some is gone, cold or ejected, the rest would choke.
+        // Quotas assume the whole tier. While some of its upstreams are gone, in slow start or ejected, the
+        // full quotas would overload the others.
         let capacity = |&slot: &usize| {
             let upstream = &self.upstreams[slot];
             if upstream.ejected_until > now { 0.0 } else { upstream.slow_start_fraction(now, &self.settings) }
@@ -1456,6 +1580,7 @@
         let members = local.members.iter().chain(&*remote.members);
         let subset_capacity = members.map(capacity).sum::<f64>() / self.subset.size().max(1) as f64;
         let ready_fraction = self.ready_slots.len() as f64 / initial_ready_count.unwrap_or(1) as f64;
+        // 1 up to half of the congestion threshold, falling to 0 at the threshold.
         let headroom = 2.0 * (1.0 - self.congestion / CONGESTION_THRESHOLD).clamp(0.0, 0.5);
         self.subset.capacity_fraction =
             (subset_capacity * ready_fraction * (1.0 + SPARE_CAPACITY_FRACTION * headroom))
@@ -1473,18 +1598,20 @@
 }
 
 impl PendingRequests {
+    /// Whether the request has already had an attempt at this upstream.
     fn already_tried(&self, id: RequestId, upstream: UpstreamId) -> bool {
         self.by_id
             .get(&id)
             .is_some_and(|pending| pending.attempts.iter().any(|attempt| attempt.member.id == upstream))
     }
 
+    /// The budget that a retry after this outcome is taken from.
     fn retry_budget(&mut self, outcome: Outcome) -> &mut f64 {
         if outcome.never_ran() { &mut self.reroute_tokens } else { &mut self.retry_tokens }
     }
 }
 
-/// Whether the rules on effects let a request out again to `member`.
+/// Whether the class's idempotency allows the request to be sent to `member` after the attempts so far.
 fn may_send_again(
     now: f64,
     idempotency: Idempotency,
--- a/src/list_trust.rs
+++ b/src/list_trust.rs
@@ -1,65 +1,72 @@
-//! How far the list in hand may be relied on while no subscription confirms it.
+//! How far the list of upstreams may be used while no subscription confirms it.
 //!
-//! A list is a lease, not a fact: what discovery has to tell counts as told some time after it could have been asked,
-//! whether or not it arrived (STANDING.md, section 'The whole fleet'). A copy that has no word from discovery can't
-//! know what it has missed, so its list holds only until a change could count as told. Past that an upstream is used
-//! only while it proves itself: it has accepted a request sent a moment ago, which one that drains ceases to do.
+//! The list is a lease: a change at discovery counts as delivered some time after it could have been asked
+//! for, whether or not it arrived (STANDING.md, section 'The whole fleet'). A replica that receives no
+//! updates from discovery cannot know what it has missed, so its list is valid only until a change could
+//! count as delivered. After that, an upstream is used only if it has recently accepted a request, which a
+//! draining upstream stops doing.
 
 use std::time::Duration;
 
 use crate::interface::{DiscoveryMode, Rules};
 use crate::report::TrustLevel;
 
-/// Seconds after which a change that discovery has counts as told, whatever call failed (STANDING.md).
+/// Time after which a change at discovery counts as delivered even if calls have failed, in seconds
+/// (STANDING.md).
 const DELIVERY_ASSUMED_S: f64 = 6.0;
-/// The same after a subscription that ended in place of telling it, unless a call has failed since: two seconds past
-/// the end of a wait (STANDING.md).
+/// The same if a subscription has ended instead of delivering the change, unless a call has failed since: two
+/// seconds after the end of the wait (STANDING.md).
 const DELIVERY_ASSUMED_AFTER_END_S: f64 = 2.0;
-/// The same after discovery has moved (TERMS, 'Reloading').
+/// The same after discovery has moved to another address (TERMS, 'Reloading').
 const DELIVERY_ASSUMED_AFTER_MOVE_S: f64 = 4.0;
-/// Seconds for which an accepted request proves its upstream. Upstreams that drain were seen to turn requests away
-/// 1.3 to 2.4 s after discovery had them (journal, 34b5f5c4); so much less than [`TOLD_S`] remains.
+/// Time for which an accepted request allows further sends to its upstream, in seconds. Draining upstreams
+/// were observed to reject requests 1.3 to 2.4 s after discovery knew of the drain (journal, 34b5f5c4), so
+/// this must be much less than [`DELIVERY_ASSUMED_S`].
 const ACCEPTANCE_VALID_S: f64 = 2.0;
-/// Seconds for which the process may be held up between reading its clock and writing (STANDING.md); they come out of
-/// the grace for drains.
+/// Time for which the process may be paused between reading its clock and writing to a socket, in seconds
+/// (STANDING.md); it is subtracted from the drain grace.
 const MAX_PROCESS_PAUSE_S: f64 = 0.15;
 
-/// What confirms the list.
+/// Whether the list is confirmed, and if not, until when it is valid.
 #[derive(Debug, Clone, Copy, PartialEq)]
 enum ListState {
-    /// A subscription stands.
+    /// A subscription is up and confirms the list.
     Confirmed,
-    /// None has yet, and the list is of unknown age. It holds for a moment from the first request on, in which each
-    /// upstream can prove itself, and no longer than a change made at the start could remain untold.
+    /// No subscription has confirmed the list yet, so its age is unknown. It is valid for a short time after
+    /// the first request, in which each upstream can accept one, but no longer than until a change made when
+    /// the replica started counts as delivered.
     UnknownAge {
-        /// When the copy started.
+        /// When the replica started.
         started: f64,
-        /// When it first sent a request.
+        /// When it first sent a request, if it has.
         first_used: Option<f64>,
     },
-    /// None does any more, and changes may be missed.
+    /// The subscription has been lost, so changes may have been missed.
     Unconfirmed {
-        /// Until when the list holds.
+        /// Until when the list is valid.
         valid_until: f64,
-        /// The same from when a call to discovery has failed.
+        /// The same once a call to discovery has failed.
         valid_until_if_call_failed: f64,
-        /// Whether upstreams that prove themselves may be used past it. One that drains goes on accepting for a
-        /// while, so that an answer proves nothing within that of an end that stands for a change.
+        /// Whether upstreams that have recently accepted a request may be used after that. Not directly after
+        /// a subscription has ended because of a change: a draining upstream goes on accepting requests for a
+        /// while, so acceptance proves nothing then.
         acceptance_counts: bool,
     },
 }
 
-/// How far the list may be relied on.
+/// Decides which upstreams of the list may be sent to.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct ListTrust {
     state: ListState,
-    /// What the grace for drains leaves beyond the time for which the process may be held up.
+    /// The drain grace less the time for which the process may be paused, in seconds.
     usable_drain_grace_s: f64,
+    /// The level of trust when [`Self::level_changed`] was last called.
     level: TrustLevel,
 }
 
 impl ListTrust {
-    /// Before the first word from discovery: a list of unknown age or, where lists come by themselves, one that holds.
+    /// The state before the first update from discovery: a list of unknown age or, if lists are pushed, a
+    /// confirmed one.
     pub(crate) fn new(now: f64, mode: DiscoveryMode, rules: &Rules) -> Self {
         let (state, level) = match mode {
             DiscoveryMode::Push => (ListState::Confirmed, TrustLevel::Confirmed),
@@ -70,7 +77,7 @@
         Self { state, usable_drain_grace_s: 0.0, level }.with_rules(rules)
     }
 
-    /// The same under other rules.
+    /// The same state under changed rules.
     pub(crate) fn with_rules(self, rules: &Rules) -> Self {
         Self {
             usable_drain_grace_s: (rules.drain_grace.as_secs_f64() - MAX_PROCESS_PAUSE_S).max(0.0),
@@ -78,14 +85,14 @@
         }
     }
 
-    /// A request is sent by the list.
+    /// Records that a request is sent to an upstream of the list.
     pub(crate) fn record_use(&mut self, now: f64) {
         if let ListState::UnknownAge { first_used, .. } = &mut self.state {
             first_used.get_or_insert(now);
         }
     }
 
-    /// The subscription has spoken.
+    /// The subscription has delivered a list.
     pub(crate) fn subscription_confirmed(&mut self) {
         self.state = ListState::Confirmed;
     }
@@ -95,7 +102,7 @@
         self.state = match self.state {
             ListState::Confirmed => {
                 let delivery_assumed_at = now + DELIVERY_ASSUMED_S + self.usable_drain_grace_s;
-                // Only where copies ask does an end stand for a change.
+                // The end of a subscription signals a change only where replicas must poll discovery.
                 let must_poll = rules.max_poll_interval.is_some();
                 let valid_until = if must_poll {
                     now + DELIVERY_ASSUMED_AFTER_END_S + self.usable_drain_grace_s
@@ -116,7 +123,8 @@
         };
     }
 
-    /// The subscription has been silent for so long that it is given up.
+    /// The subscription was given up after it had delivered nothing for the time `silence`. Changes may have
+    /// been missed since its last update.
     pub(crate) fn subscription_timed_out(&mut self, now: f64, silence: Duration, rules: &Rules) {
         if self.state != ListState::Confirmed {
             return self.subscription_lost(now, rules);
@@ -129,7 +137,8 @@
         };
     }
 
-    /// Nobody listens where discovery is: while it is down, nothing that it has counts as told.
+    /// Nothing accepts connections at discovery's address: while discovery is down, its changes do not count
+    /// as delivered, so the time starts again with every such failure.
     pub(crate) fn discovery_unreachable(&mut self, now: f64) {
         let valid_until = now + DELIVERY_ASSUMED_S + self.usable_drain_grace_s;
         self.state = ListState::Unconfirmed {
@@ -139,7 +148,7 @@
         };
     }
 
-    /// Discovery is elsewhere from now on.
+    /// Discovery has moved to another address. This never extends the time for which the list is valid.
     pub(crate) fn discovery_moved(&mut self, now: f64) {
         let delivery_assumed_at = now + DELIVERY_ASSUMED_AFTER_MOVE_S + self.usable_drain_grace_s;
         self.state = match self.state {
@@ -159,8 +168,8 @@
         };
     }
 
-    /// Until when an upstream of the list may be sent to that last accepted a request sent at `proved`; `None` where
-    /// no end is known.
+    /// Until when an upstream of the list may be sent to, given when the latest request that it accepted was
+    /// sent; `None` without a limit.
     pub(crate) fn sends_allowed_until(&self, last_accepted_send: Option<f64>) -> Option<f64> {
         let valid_until = self.list_valid_until()?;
         let accepted_until = last_accepted_send
@@ -169,12 +178,13 @@
         Some(accepted_until.map_or(valid_until, |accepted_until| accepted_until.max(valid_until)))
     }
 
-    /// Whether an upstream of the list may be sent to that last accepted a request sent at `proved`.
+    /// Whether an upstream of the list may be sent to now, given when the latest request that it accepted was
+    /// sent.
     pub(crate) fn allows_send(&self, now: f64, last_accepted_send: Option<f64>) -> bool {
         self.sends_allowed_until(last_accepted_send).is_none_or(|valid_until| now < valid_until)
     }
 
-    /// The level of trust, if it is another than when this was last asked.
+    /// The level of trust, if it has changed since the last call.
     pub(crate) fn level_changed(&mut self, now: f64) -> Option<TrustLevel> {
         let level = match self.list_valid_until() {
             None => TrustLevel::Confirmed,
@@ -185,7 +195,8 @@
         (std::mem::replace(&mut self.level, level) != level).then_some(level)
     }
 
-    /// Until when the list holds whatever its upstreams prove; `None` while it is confirmed.
+    /// Until when the whole list is valid, whether or not its upstreams have accepted requests; `None` while
+    /// it is confirmed.
     fn list_valid_until(&self) -> Option<f64> {
         match self.state {
             ListState::Confirmed => None,
@@ -199,6 +210,8 @@
         }
     }
 
+    /// Whether upstreams that have recently accepted a request may be used after the list has ceased to be
+    /// valid.
     fn acceptance_counts(&self) -> bool {
         match self.state {
             ListState::Confirmed | ListState::UnknownAge { .. } => true,
