--- a/src/decide.rs
+++ b/src/decide.rs
@@ -46,10 +46,10 @@
 const MIN_SHARED_WINDOW_CALLS: f64 = 30.0;
 /// ... up to this many times [`BUCKET_S`].
 const MAX_SHARED_BUCKET_FACTOR: f64 = 4.0;
-/// Number of buckets in the last 1000 ms.
+/// Number of buckets of [`BUCKET_S`] in the last 1000 ms.
 const LAST_SECOND_BUCKETS: u64 = 10;
-/// Hard limit as a multiple of the soft limit. It is wide because a lower one would also deny a tenant that
-/// sends several times its share everything.
+/// Hard limit as a multiple of the soft limit. It is wide because above it every call is denied: with a lower
+/// one, a tenant that sends several times its share would lose its share as well.
 const HARD_LIMIT_FACTOR: f64 = 32.0;
 /// The most that all tenants of a replica together may send beyond their fair shares while there is no
 /// congestion, as a fraction of the fair shares ...
@@ -112,17 +112,17 @@
 const FAILURE_EWMA_WEIGHT: f64 = 0.2;
 /// Weight of one outcome in the tier's failure rate, and of one latency in its slowness.
 const TIER_EWMA_WEIGHT: f64 = 0.02;
-/// An upstream is ejected if its failure rate is above this ...
+/// An upstream is ejected if its failure rate reaches this ...
 const EJECTION_MIN_FAILURE_RATE: f64 = 0.3;
 /// ... plus this multiple of the tier's failure rate.
 const EJECTION_TIER_FAILURE_FACTOR: f64 = 2.0;
 /// Number of failed connects in a row, with no response between them, from which an upstream counts as
-/// unreachable. An upstream that answers on other connections is reachable, however many connects fail.
+/// unreachable. An upstream that answers on other connections is reachable, however many of its new
+/// connections open too late.
 const UNREACHABLE_CONNECT_FAILURES: u32 = 2;
 /// Maximum fraction of a zone group that is ejected at a time: the rest must carry the load.
 const MAX_EJECTED_FRACTION: f64 = 0.34;
-/// Duration of the first ejection, in seconds; doubled each time that the upstream fails again on its return
-/// ...
+/// Duration of the first ejection, in seconds; doubled if the upstream fails again on its return ...
 const INITIAL_EJECTION_S: f64 = 1.5;
 /// ... up to this.
 const MAX_EJECTION_S: f64 = 12.0;
@@ -146,10 +146,10 @@
 const MAX_MACHINE_TYPE_SLOWNESS_SAMPLE: f64 = 2.0;
 /// Minimum of the factor by which slowness lowers the selection probability: an upstream needs calls for its
 /// recovery to be noticed.
-const MIN_SLOWNESS_WEIGHT: f64 = 0.05;
+const MIN_SLOWNESS_FACTOR: f64 = 0.05;
 /// Weight of one call in the relative latency of a zone group.
 const ZONE_LATENCY_EWMA_WEIGHT: f64 = 0.05;
-/// Weight of one periodic update in the send rate of warm upstreams.
+/// Weight of one periodic update in the send rate to upstreams that are warm, that is, past slow start.
 const WARM_RATE_EWMA_WEIGHT: f64 = 0.2;
 /// Seconds of its send rate that an upstream in slow start may save up as tokens, in addition to one.
 const SLOW_START_BURST_S: f64 = 0.5;
@@ -171,7 +171,7 @@
 /// congestion do not become the typical ones ...
 const TYPICAL_LATENCY_WINDOW_S: f64 = 20.0;
 /// ... and the maximum weight of one call in it.
-const MAX_TYPICAL_LATENCY_STEP: f64 = 0.02;
+const MAX_TYPICAL_LATENCY_SAMPLE_WEIGHT: f64 = 0.02;
 /// Under congestion, that weight is divided by this.
 const CONGESTED_LEARNING_DIVISOR: f64 = 10.0;
 /// Latencies below this are counted as this, in seconds, so that their logarithm is finite.
@@ -198,14 +198,16 @@
 const HANDSHAKE_COST: f64 = 1.0;
 /// Maximum number of draws for each candidate of a pair.
 const MAX_DRAWS: usize = 6;
-/// Minimum time before a failed subscription is opened again, in seconds; doubled with each failure.
-const MIN_RESUBSCRIBE_BACKOFF_S: f64 = 0.5;
+/// Time before a subscription is opened again after its first failure, in seconds; doubled by each further
+/// one.
+const INITIAL_RESUBSCRIBE_BACKOFF_S: f64 = 0.5;
 /// Random factor of that time where replicas must poll discovery; elsewhere the subscription is opened again
 /// at the next periodic update.
 const RESUBSCRIBE_JITTER: Range<f64> = 0.5..1.0;
-/// Longest wait for a subscription, as a fraction of the interval within which a replica must ask discovery.
+/// Longest wait for a subscription to deliver a list, or before it is opened again, as a fraction of the
+/// interval within which a replica must ask discovery.
 const SUBSCRIBE_WAIT_FRACTION: f64 = 0.4;
-/// Interval that this fraction is taken of where lists are pushed and no interval is set, in seconds.
+/// The interval used for that where the rules set none, in seconds.
 const DEFAULT_POLL_INTERVAL_S: f64 = 10.0;
 
 // --- 1. Suppressor ---
@@ -263,8 +265,8 @@
         f64::from(self.window_counts.accepted) / self.observed_window_s()
     }
 
-    /// The part of the window that has passed since the first call, in seconds and at least one. If a replica
-    /// that has just started divided by the whole window, it would let through seconds of overload before the
+    /// The part of the window that has passed since the first call, in seconds and at least one. Dividing by
+    /// the whole window would let a replica that has just started accept seconds of overload before the
     /// window fills, and all replicas of a fleet that has just started would do so together.
     fn observed_window_s(&self) -> f64 {
         let first_bucket = self.first_bucket.unwrap_or(self.current_bucket);
@@ -307,7 +309,8 @@
         }
     }
 
-    /// The sum of a count over the last 1000 ms.
+    /// The sum of a count over the last [`LAST_SECOND_BUCKETS`] buckets. That is 1000 ms, or more for the
+    /// window shared by all tenants if its buckets are longer.
     fn last_second_count(&self, value: fn(&CallCounts) -> u32) -> f64 {
         let indices = (0..LAST_SECOND_BUCKETS)
             .map(|age| self.current_bucket.saturating_sub(age) % WINDOW_BUCKETS as u64);
@@ -669,8 +672,7 @@
 }
 
 impl PendingRequest {
-    /// The first attempt that is not known to have never been executed; it restricts which attempts may
-    /// follow.
+    /// The first attempt that may have been executed; it restricts which attempts may follow.
     fn first_possibly_executed(&self) -> Option<&Attempt> {
         self.attempts.iter().find(|attempt| attempt.outcome.is_none_or(|outcome| !outcome.never_ran()))
     }
@@ -706,12 +708,12 @@
 }
 
 impl TypicalLatency {
-    /// Adds the latency of a served call with a weight of `step`, limited and, under congestion, reduced.
-    fn record(&mut self, duration_s: f64, step: f64, congested: bool) {
+    /// Adds the latency of a served call with this weight, which is limited and reduced under congestion.
+    fn record(&mut self, duration_s: f64, weight: f64, congested: bool) {
         self.samples += 1.0;
         let deviation = duration_s.ln() - self.ln_seconds;
-        let step =
-            if congested { step / CONGESTED_LEARNING_DIVISOR } else { step }.min(MAX_TYPICAL_LATENCY_STEP);
+        let weight = if congested { weight / CONGESTED_LEARNING_DIVISOR } else { weight }
+            .min(MAX_TYPICAL_LATENCY_SAMPLE_WEIGHT);
         // The first sample is taken as it is. Later ones are clamped like congestion samples, so that
         // congestion settles at zero in quiet times.
         let (min_deviation, max_deviation) = if self.samples > 1.0 {
@@ -719,7 +721,7 @@
         } else {
             (f64::MIN, f64::MAX)
         };
-        self.ln_seconds += step.max(1.0 / self.samples) * deviation.clamp(min_deviation, max_deviation);
+        self.ln_seconds += weight.max(1.0 / self.samples) * deviation.clamp(min_deviation, max_deviation);
     }
 
     /// The typical latency in seconds; 0 if it is unknown.
@@ -784,7 +786,8 @@
     /// Creates the state machine of a replica that has no list of upstreams yet. Equal seeds give equal
     /// random draws.
     ///
-    /// # Errors The settings are invalid.
+    /// # Errors
+    /// The settings are invalid.
     pub fn new(settings: Settings, seed: u64) -> Result<Self, SettingsError> {
         settings.validate()?;
         let limits = LearnedLimit::all_limits(&settings);
@@ -888,7 +891,7 @@
             self.subset = Subset { initial_ready_count, capacity_fraction, in_flight, ..Subset::default() };
         }
         let poll_interval_changed = settings.rules.max_poll_interval != self.settings.rules.max_poll_interval;
-        let resubscribe = settings.discovery != self.settings.discovery
+        let must_resubscribe = settings.discovery != self.settings.discovery
             || (poll_interval_changed && !self.subscription.subscribed);
         self.list_trust = if settings.discovery == self.settings.discovery {
             self.list_trust.with_rules(&settings.rules)
@@ -897,7 +900,7 @@
         };
         self.settings = settings;
         self.rebuild_subset(actions);
-        if resubscribe {
+        if must_resubscribe {
             self.resubscribe(now, actions);
         }
     }
@@ -947,9 +950,9 @@
                 // at once, and one that had failed before is retried at the next periodic update.
                 let resubscribe_now =
                     self.subscription.subscribed && self.settings.rules.max_poll_interval.is_none();
-                let max_backoff_s = self.subscribe_wait_s().max(MIN_RESUBSCRIBE_BACKOFF_S);
+                let max_backoff_s = self.subscribe_wait_s().max(INITIAL_RESUBSCRIBE_BACKOFF_S);
                 let backoff_s =
-                    (self.subscription.backoff_s * 2.0).clamp(MIN_RESUBSCRIBE_BACKOFF_S, max_backoff_s);
+                    (self.subscription.backoff_s * 2.0).clamp(INITIAL_RESUBSCRIBE_BACKOFF_S, max_backoff_s);
                 let jitter = self
                     .settings
                     .rules
@@ -1041,8 +1044,8 @@
         let tenant = tenant.min(self.settings.tenants.len().saturating_sub(1));
         let (target_time, deadline) =
             (now + class.latency_target.as_secs_f64(), now + request.time_left.as_secs_f64());
-        // If deadlines are not propagated, the server would go on working for a client that may have given
-        // up.
+        // If deadlines are not propagated, a server would go on working for a client that has long given up,
+        // so attempts end at the latency target.
         let deadline_unknown = self.settings.tier > 0 && !self.settings.propagates_deadline;
         let pending = PendingRequest {
             class: request.class,
@@ -1153,8 +1156,8 @@
         best
     }
 
-    /// Draws random slots until one is accepted, with a probability that depends on its upstream's weight,
-    /// slow start, return from ejection and slowness.
+    /// Draws up to [`MAX_DRAWS`] random slots until one is accepted, with a probability that depends on its
+    /// upstream's weight, slow start, return from ejection and slowness.
     fn draw_candidate(&mut self, now: f64, id: RequestId, slots: &[usize]) -> Option<usize> {
         let typical_latency_s = self.typical_latencies[self.requests.by_id.get(&id)?.class.0].seconds();
         if slots.is_empty() {
@@ -1172,7 +1175,7 @@
             let probability = upstream.member.weight / self.max_weight
                 * upstream.slow_start_fraction(now, &self.settings)
                 * upstream.return_probability
-                * (self.tier_slowness / self.slowness(upstream)).powi(2).clamp(MIN_SLOWNESS_WEIGHT, 1.0);
+                * (self.tier_slowness / self.slowness(upstream)).powi(2).clamp(MIN_SLOWNESS_FACTOR, 1.0);
             if self.rng.rand_float() < probability && self.slow_start_allows(now, slot) {
                 return Some(slot);
             }
@@ -1247,7 +1250,8 @@
             }
             _ => timeout,
         };
-        // By then the upstream must not have begun to drain without this replica knowing.
+        // Nor may the connection open after the list has ceased to be valid for this upstream, which could
+        // have begun to drain without this replica's knowledge.
         let trusted_for = self
             .list_trust
             .sends_allowed_until(upstream.last_accepted_send)
@@ -1394,7 +1398,8 @@
         let upstream = &mut self.upstreams[slot];
         upstream.in_flight = upstream.in_flight.saturating_sub(1);
         upstream.last_used = now;
-        // The connection is closed if it broke, or if it carries only one attempt and that was abandoned.
+        // A connection is closed if it broke, or if it carries one attempt at a time and the wait for the
+        // answer was given up.
         let given_up = matches!(outcome, Outcome::TimedOut | Outcome::Withdrawn);
         if matches!(outcome, Outcome::ConnectFailed | Outcome::Reset)
             || (given_up && self.settings.capabilities.max_concurrent_streams == 1)
--- a/src/list_trust.rs
+++ b/src/list_trust.rs
@@ -20,8 +20,8 @@
 /// The same after discovery has moved to another address (TERMS, 'Reloading').
 const DELIVERY_ASSUMED_AFTER_MOVE_S: f64 = 4.0;
 /// Time for which an accepted request allows further sends to its upstream, in seconds. Draining upstreams
-/// were observed to reject requests 1.3 to 2.4 s after discovery knew of the drain (journal, 34b5f5c4), so
-/// this must be much less than [`DELIVERY_ASSUMED_S`].
+/// were observed to reject requests 1.3 to 2.4 s after discovery knew of the drain (journal, 34b5f5c4),
+/// which leaves much less than [`DELIVERY_ASSUMED_S`] after the last request that such an upstream accepts.
 const ACCEPTANCE_VALID_S: f64 = 2.0;
 /// Time for which the process may be paused between reading its clock and writing to a socket, in seconds
 /// (STANDING.md); it is subtracted from the drain grace.
@@ -47,9 +47,9 @@
         valid_until: f64,
         /// The same once a call to discovery has failed.
         valid_until_if_call_failed: f64,
-        /// Whether upstreams that have recently accepted a request may be used after that. Not directly after
-        /// a subscription has ended because of a change: a draining upstream goes on accepting requests for a
-        /// while, so acceptance proves nothing then.
+        /// Whether upstreams that have recently accepted a request may be used after `valid_until`. Not
+        /// directly after a subscription has ended because of a change: a draining upstream goes on accepting
+        /// requests for a while, so acceptance proves nothing then.
         acceptance_counts: bool,
     },
 }
