--- a/scale/src/cli.rs
+++ b/scale/src/cli.rs
@@ -13,7 +13,7 @@
 
 use crate::cover::{Cover, CoverError};
 use crate::interrupt::Interrupt;
-use crate::process::{ProcessError, find_program};
+use crate::process::{ProcessError, find_balancer_program};
 use crate::run::{Options, run};
 use crate::scenario::Scenario;
 use crate::scenario::load::{ScenarioError, check_machine, load};
@@ -192,7 +192,7 @@
 
 fn run_scenario(scenario: &Scenario, file: Option<&Path>) -> Result<u8, CommandError> {
     open_report(file)?;
-    let options = Options { program: find_program()?, progress: true };
+    let options = Options { program: find_balancer_program()?, progress: true };
     let report = block_on(async {
         let interrupt = Interrupt::on_signals().map_err(CommandError::Runtime)?;
         Ok(run(scenario, &options, interrupt.interrupted()).await)
@@ -203,7 +203,7 @@
 
 fn run_slopes(kinds: &[SlopeKind], seed: u64, file: Option<&Path>) -> Result<u8, CommandError> {
     open_report(file)?;
-    let options = Options { program: find_program()?, progress: true };
+    let options = Options { program: find_balancer_program()?, progress: true };
     let report = block_on(async {
         let interrupt = Interrupt::on_signals().map_err(CommandError::Runtime)?;
         Ok(slopes::measure(kinds, seed, &options, &interrupt).await?)
--- a/scale/src/client/arrivals.rs
+++ b/scale/src/client/arrivals.rs
@@ -5,13 +5,13 @@
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-use crate::process::settings::{CLASS_ORDER, CLASS_READ, TENANTS};
+use crate::process::settings::{CLASS_ORDER, CLASS_READ, TENANT_COUNT};
 use crate::scenario::{Depth, Load, Scenario};
 
 /// Stream of the random numbers of calls through balancers.
-const THROUGH_STREAM: u64 = 1;
+const BALANCER_CALLS_RNG_STREAM: u64 = 1;
 /// Stream of those of calls straight to nodes.
-const STRAIGHT_STREAM: u64 = 2;
+const DIRECT_CALLS_RNG_STREAM: u64 = 2;
 
 /// The class of a call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -37,7 +37,7 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Arrival {
     /// When, from the start of the load.
-    pub at: Duration,
+    pub offset: Duration,
     /// Hops from the client to the last node.
     pub hops: u32,
     /// Its class.
@@ -47,74 +47,74 @@
     /// Position of the balancer or node that it goes to.
     pub target: usize,
     /// When the client closes its connection, from the arrival, where it does so before the answer.
-    pub leaves_after: Option<Duration>,
+    pub disconnect_after: Option<Duration>,
     /// Request id of its first try; further tries count on from it.
-    pub id: u64,
+    pub first_request_id: u64,
 }
 
 /// The arrivals of one kind of calls, in their order: a Poisson process.
 #[derive(Debug, Clone)]
 pub struct Arrivals {
-    random: ChaCha8Rng,
+    rng: ChaCha8Rng,
     /// Seconds of load.
     duration_s: f64,
     /// Calls a second.
-    rate: f64,
+    calls_per_s: f64,
     depths: Vec<Depth>,
     load: Load,
     /// Mean work of a request at one hop, in seconds.
-    work_s: f64,
-    targets: usize,
+    mean_hop_work_s: f64,
+    target_count: usize,
     next_target: usize,
     /// Seconds from the start of the load to the latest arrival.
-    at_s: f64,
+    latest_s: f64,
 }
 
 impl Arrivals {
     /// The calls to `balancers` real balancers, in turn.
     #[must_use]
-    pub fn through_balancers(scenario: &Scenario, balancers: usize) -> Self {
+    pub fn to_balancers(scenario: &Scenario, balancers: usize) -> Self {
         let load = scenario.load.clone();
-        let (rate, depths) = (load.real_calls_per_s, load.depths.clone());
-        Self::of(scenario, THROUGH_STREAM, rate, depths, load, balancers)
+        let (calls_per_s, depths) = (load.real_calls_per_s, load.depths.clone());
+        Self::new(scenario, BALANCER_CALLS_RNG_STREAM, calls_per_s, depths, load, balancers)
     }
 
     /// The calls straight to `nodes` nodes, in turn: one hop, and no client leaves.
     #[must_use]
-    pub fn straight_to_nodes(scenario: &Scenario, nodes: usize) -> Self {
+    pub fn directly_to_nodes(scenario: &Scenario, nodes: usize) -> Self {
         let load = Load { leaving_share: 0.0, ..scenario.load.clone() };
         let depths = vec![Depth { hops: 1, share: 1.0 }];
-        Self::of(scenario, STRAIGHT_STREAM, load.direct_calls_per_s, depths, load, nodes)
+        Self::new(scenario, DIRECT_CALLS_RNG_STREAM, load.direct_calls_per_s, depths, load, nodes)
     }
 
-    fn of(
+    fn new(
         scenario: &Scenario,
-        stream: u64,
-        rate: f64,
+        rng_stream: u64,
+        calls_per_s: f64,
         depths: Vec<Depth>,
         load: Load,
-        targets: usize,
+        target_count: usize,
     ) -> Self {
-        let mut random = ChaCha8Rng::seed_from_u64(scenario.seed);
-        random.set_stream(stream);
+        let mut rng = ChaCha8Rng::seed_from_u64(scenario.seed);
+        rng.set_stream(rng_stream);
         Self {
-            random,
+            rng,
             duration_s: scenario.duration_s,
-            rate,
+            calls_per_s,
             depths,
             load,
-            work_s: scenario.node.work_ms / 1000.0,
-            targets,
+            mean_hop_work_s: scenario.node.work_ms / 1000.0,
+            target_count,
             next_target: 0,
-            at_s: 0.0,
+            latest_s: 0.0,
         }
     }
 
-    fn hops(&self, chance: f64) -> u32 {
-        let mut share = 0.0;
+    fn hops_for_draw(&self, draw: f64) -> u32 {
+        let mut cumulative_share = 0.0;
         for depth in &self.depths {
-            share += depth.share;
-            if chance < share {
+            cumulative_share += depth.share;
+            if draw < cumulative_share {
                 return depth.hops;
             }
         }
@@ -122,9 +122,9 @@
         self.depths.last().map_or(1, |depth| depth.hops)
     }
 
-    fn turn(&mut self) -> usize {
+    fn take_target(&mut self) -> usize {
         let target = self.next_target;
-        self.next_target = (target + 1) % self.targets;
+        self.next_target = (target + 1) % self.target_count;
         target
     }
 }
@@ -133,27 +133,28 @@
     type Item = Arrival;
 
     fn next(&mut self) -> Option<Arrival> {
-        if self.targets == 0 || self.rate <= 0.0 {
+        if self.target_count == 0 || self.calls_per_s <= 0.0 {
             return None;
         }
         // Each arrival draws the same count of numbers, so that a share that changes moves no other draw.
-        let [gap, depth, class, leaves, stays]: [f64; 5] = self.random.random();
-        let (tenant, id) = (self.random.random_range(0..TENANTS), self.random.random());
-        self.at_s -= (1.0 - gap).ln() / self.rate;
-        if self.at_s >= self.duration_s {
+        let [gap_draw, depth_draw, class_draw, disconnect_draw, delay_draw]: [f64; 5] = self.rng.random();
+        let (tenant, first_request_id) = (self.rng.random_range(0..TENANT_COUNT), self.rng.random());
+        self.latest_s -= (1.0 - gap_draw).ln() / self.calls_per_s;
+        if self.latest_s >= self.duration_s {
             return None;
         }
-        let hops = self.hops(depth);
+        let hops = self.hops_for_draw(depth_draw);
         // Within the mean work of all hops, so that most answers are not there yet.
-        let stays = self.work_s * f64::from(hops) * stays;
+        let disconnect_s = self.mean_hop_work_s * f64::from(hops) * delay_draw;
         Some(Arrival {
-            at: Duration::from_secs_f64(self.at_s),
+            offset: Duration::from_secs_f64(self.latest_s),
             hops,
-            class: if class < self.load.unsafe_share { Class::Order } else { Class::Read },
+            class: if class_draw < self.load.unsafe_share { Class::Order } else { Class::Read },
             tenant,
-            target: self.turn(),
-            leaves_after: (leaves < self.load.leaving_share).then(|| Duration::from_secs_f64(stays)),
-            id,
+            target: self.take_target(),
+            disconnect_after: (disconnect_draw < self.load.leaving_share)
+                .then(|| Duration::from_secs_f64(disconnect_s)),
+            first_request_id,
         })
     }
 }
--- a/scale/src/client/arrivals/tests.rs
+++ b/scale/src/client/arrivals/tests.rs
@@ -13,11 +13,11 @@
 }
 
 fn drawn(scenario: &Scenario) -> Vec<Arrival> {
-    Arrivals::through_balancers(scenario, 4).collect()
+    Arrivals::to_balancers(scenario, 4).collect()
 }
 
-fn share(arrivals: &[Arrival], which: impl Fn(&Arrival) -> bool) -> f64 {
-    arrivals.iter().filter(|arrival| which(arrival)).count() as f64 / arrivals.len() as f64
+fn share(arrivals: &[Arrival], matches: impl Fn(&Arrival) -> bool) -> f64 {
+    arrivals.iter().filter(|arrival| matches(arrival)).count() as f64 / arrivals.len() as f64
 }
 
 #[test]
@@ -32,43 +32,44 @@
 fn arrivals_have_the_rate_and_shares_of_the_scenario() {
     let arrivals = drawn(&scenario());
     assert!((9_500..10_500).contains(&arrivals.len()), "{}", arrivals.len());
-    assert!(arrivals.is_sorted_by_key(|arrival| arrival.at));
-    assert!(arrivals.iter().all(|arrival| arrival.at < Duration::from_secs(50) && arrival.tenant < 3));
+    assert!(arrivals.is_sorted_by_key(|arrival| arrival.offset));
+    assert!(arrivals.iter().all(|arrival| arrival.offset < Duration::from_secs(50) && arrival.tenant < 3));
     assert!((share(&arrivals, |arrival| arrival.hops == 9) - 0.5).abs() < 0.03);
     assert!((share(&arrivals, |arrival| arrival.class == Class::Order) - 0.25).abs() < 0.03);
-    assert!((share(&arrivals, |arrival| arrival.leaves_after.is_some()) - 0.1).abs() < 0.02);
+    assert!((share(&arrivals, |arrival| arrival.disconnect_after.is_some()) - 0.1).abs() < 0.02);
 }
 
 #[test]
-fn targets_take_turns() {
+fn targets_are_called_in_turn() {
     let targets: Vec<usize> = drawn(&scenario()).iter().take(6).map(|arrival| arrival.target).collect();
     assert_eq!(targets, [0, 1, 2, 3, 0, 1]);
 }
 
 #[test]
-fn a_share_that_changes_moves_nothing_else() {
+fn changing_a_share_does_not_move_arrival_times() {
     let scenario = scenario();
     let mut changed = scenario.clone();
     changed.load.unsafe_share = 1.0;
     changed.load.leaving_share = 0.0;
     changed.load.depths = vec![Depth { hops: 27, share: 1.0 }];
-    let times = |scenario: &Scenario| drawn(scenario).iter().map(|arrival| arrival.at).collect::<Vec<_>>();
+    let times =
+        |scenario: &Scenario| drawn(scenario).iter().map(|arrival| arrival.offset).collect::<Vec<_>>();
     assert_eq!(times(&scenario), times(&changed));
 }
 
 #[test]
-fn straight_calls_are_draws_of_their_own() {
+fn direct_calls_are_drawn_independently() {
     let scenario = scenario();
-    let straight: Vec<Arrival> = Arrivals::straight_to_nodes(&scenario, 4).collect();
-    assert!((2_300..2_700).contains(&straight.len()), "{}", straight.len());
-    assert!(straight.iter().all(|arrival| arrival.hops == 1 && arrival.leaves_after.is_none()));
-    assert_ne!(straight[0].id, drawn(&scenario)[0].id);
+    let direct: Vec<Arrival> = Arrivals::directly_to_nodes(&scenario, 4).collect();
+    assert!((2_300..2_700).contains(&direct.len()), "{}", direct.len());
+    assert!(direct.iter().all(|arrival| arrival.hops == 1 && arrival.disconnect_after.is_none()));
+    assert_ne!(direct[0].first_request_id, drawn(&scenario)[0].first_request_id);
 }
 
 #[test]
-fn nobody_to_call_means_no_arrivals() {
-    assert_eq!(Arrivals::through_balancers(&scenario(), 0).count(), 0);
+fn no_targets_or_no_rate_means_no_arrivals() {
+    assert_eq!(Arrivals::to_balancers(&scenario(), 0).count(), 0);
     let mut quiet = scenario();
     quiet.load.direct_calls_per_s = 0.0;
-    assert_eq!(Arrivals::straight_to_nodes(&quiet, 4).count(), 0);
+    assert_eq!(Arrivals::directly_to_nodes(&quiet, 4).count(), 0);
 }
--- a/scale/src/client/caller.rs
+++ b/scale/src/client/caller.rs
@@ -12,14 +12,14 @@
 use super::arrivals::Arrival;
 use super::connection::{Answer, Connection, ExchangeError};
 use super::pool::Pool;
-use super::request::Requests;
-use crate::process::settings::RETRY_AFTER_MOST_S;
+use super::request::RequestBuilder;
+use crate::process::settings::MAX_RETRY_AFTER_S;
 use crate::record::{Call, CallEnd, Record};
 use crate::scenario::Load;
 use crate::topology::Carrier;
 
 /// Wait before a refused call is repeated where the answer names none.
-const RETRY_WAIT: Duration = Duration::from_millis(50);
+const DEFAULT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
 /// Where calls go, and so what is recorded of them.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -49,7 +49,7 @@
     pub(super) grace: Duration,
     /// A close that arrives so long after the request was written may have crossed it; after that the request was
     /// read, as a balancer gives one that may be on its way just this time.
-    pub(super) crossing: Duration,
+    pub(super) close_race_window: Duration,
 }
 
 impl Limits {
@@ -57,14 +57,14 @@
         Self {
             deadline: Duration::try_from_secs_f64(load.deadline_s).unwrap_or(Duration::MAX),
             grace: Duration::from_millis(500),
-            crossing: Duration::from_millis(100),
+            close_race_window: Duration::from_millis(100),
         }
     }
 }
 
 /// How a try ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum TryEnd {
+enum AttemptOutcome {
     Served,
     Refused { retry_after: Option<Duration> },
     Failed,
@@ -73,13 +73,13 @@
 
 /// What became of a request on one connection.
 #[derive(Debug)]
-enum Sent {
+enum SendOutcome {
     /// The try is over.
-    Ended(TryEnd),
+    Finished(AttemptOutcome),
     /// The connection was closed before the request was written: another one may do.
-    Unsent,
+    NotSent,
     /// The connection was closed while the request was on its way: it goes out once more on a new one.
-    Crossed,
+    ClosedInFlight,
 }
 
 /// Makes the calls of one route.
@@ -87,12 +87,12 @@
 pub(super) struct Caller {
     route: Route,
     limits: Limits,
-    retries: u32,
+    max_retries: u32,
     pools: Vec<Pool>,
-    requests: Requests,
+    request_builder: RequestBuilder,
     record: Arc<Record>,
     /// A fault of the client itself has been logged.
-    logged: AtomicBool,
+    local_error_logged: AtomicBool,
 }
 
 impl Caller {
@@ -107,85 +107,91 @@
         Self {
             route,
             limits,
-            retries: load.client_retries,
+            max_retries: load.client_retries,
             pools: targets.iter().map(|&address| Pool::new(address)).collect(),
-            requests: Requests::new(route.hop(), depths, targets),
+            request_builder: RequestBuilder::new(route.hop(), depths, targets),
             record,
-            logged: AtomicBool::new(false),
+            local_error_logged: AtomicBool::new(false),
         }
     }
 
     /// Makes a call that was due at `due`, and records how it ended.
-    pub(super) async fn call(&self, arrival: Arrival, due: Instant) {
+    pub(super) async fn run_call(&self, arrival: Arrival, due: Instant) {
         let lag = due.elapsed();
         self.record.measured().client_lag_us.add(lag);
-        let end = match arrival.leaves_after {
-            None => self.tries(&arrival, due).await,
-            Some(after) => tokio::select! {
+        let end = match arrival.disconnect_after {
+            None => self.attempt_with_retries(&arrival, due).await,
+            Some(disconnect_after) => tokio::select! {
                 biased;
-                end = self.tries(&arrival, due) => end,
-                () = sleep_until((due + after).into()) => CallEnd::Left,
+                end = self.attempt_with_retries(&arrival, due) => end,
+                () = sleep_until((due + disconnect_after).into()) => CallEnd::ClientLeft,
             },
         };
-        self.ended(&arrival, due, end);
+        self.record_end(&arrival, due, end);
     }
 
     /// Records a call that could not be made.
-    pub(super) fn unsent(&self, arrival: &Arrival, due: Instant) {
+    pub(super) fn record_unsent(&self, arrival: &Arrival, due: Instant) {
         self.record.measured().client_unsent += 1;
-        self.ended(arrival, due, CallEnd::Failed);
+        self.record_end(arrival, due, CallEnd::Failed);
     }
 
-    fn ended(&self, arrival: &Arrival, due: Instant, end: CallEnd) {
-        let at = Instant::now();
-        let took = at.saturating_duration_since(due);
+    fn record_end(&self, arrival: &Arrival, due: Instant, end: CallEnd) {
+        let ended_at = Instant::now();
+        let latency = ended_at.saturating_duration_since(due);
         match self.route {
             Route::Balancers => {
-                self.record.call(Call { carrier: Carrier::Real, hops: arrival.hops, end, took, at });
+                self.record.add_call(Call {
+                    carrier: Carrier::Real,
+                    hops: arrival.hops,
+                    end,
+                    latency,
+                    ended_at,
+                });
             }
-            Route::Nodes if end == CallEnd::Served => self.record.measured().direct_us.add(took),
+            Route::Nodes if end == CallEnd::Served => self.record.measured().direct_latency_us.add(latency),
             Route::Nodes => {}
         }
     }
 
-    async fn tries(&self, arrival: &Arrival, due: Instant) -> CallEnd {
-        let mut number = 0;
+    async fn attempt_with_retries(&self, arrival: &Arrival, due: Instant) -> CallEnd {
+        let mut attempt_number = 0;
         loop {
-            let wait = match self.attempt(arrival, number, due).await {
-                TryEnd::Served => return CallEnd::Served,
-                TryEnd::Failed => return CallEnd::Failed,
-                TryEnd::Lost => return CallEnd::Lost,
-                TryEnd::Refused { retry_after } => wait(retry_after),
+            let delay = match self.attempt(arrival, attempt_number, due).await {
+                AttemptOutcome::Served => return CallEnd::Served,
+                AttemptOutcome::Failed => return CallEnd::Failed,
+                AttemptOutcome::Lost => return CallEnd::Lost,
+                AttemptOutcome::Refused { retry_after } => retry_delay(retry_after),
             };
             // A repeat whose time would be up before it began is none.
-            if number >= self.retries || wait >= self.left(due) {
+            if attempt_number >= self.max_retries || delay >= self.remaining(due) {
                 return CallEnd::Refused;
             }
-            sleep(wait).await;
-            number += 1;
+            sleep(delay).await;
+            attempt_number += 1;
         }
     }
 
     /// What is left of the client's time.
-    fn left(&self, due: Instant) -> Duration {
+    fn remaining(&self, due: Instant) -> Duration {
         self.limits.deadline.saturating_sub(due.elapsed())
     }
 
     /// One request with an id of its own.
-    async fn attempt(&self, arrival: &Arrival, number: u32, due: Instant) -> TryEnd {
+    async fn attempt(&self, arrival: &Arrival, attempt_number: u32, due: Instant) -> AttemptOutcome {
         if self.route == Route::Balancers {
-            self.record.hop_call(Carrier::Real, self.route.hop());
+            self.record.count_hop_call(Carrier::Real, self.route.hop());
         }
         let pool = &self.pools[arrival.target];
-        let mut idle = pool.idle();
+        let mut idle = pool.take_idle();
         loop {
-            let Some(connection) = self.or_new(idle, pool, due).await else {
-                return TryEnd::Failed;
+            let Some(connection) = self.reuse_or_open(idle, pool, due).await else {
+                return AttemptOutcome::Failed;
             };
-            match self.send(connection, arrival, number, due).await {
-                Sent::Ended(end) => return end,
-                Sent::Unsent => idle = pool.idle(),
-                Sent::Crossed => {
+            match self.send(connection, arrival, attempt_number, due).await {
+                SendOutcome::Finished(end) => return end,
+                SendOutcome::NotSent => idle = pool.take_idle(),
+                SendOutcome::ClosedInFlight => {
                     self.record.measured().client_resent += 1;
                     idle = None;
                 }
@@ -194,78 +200,86 @@
     }
 
     /// Sends the request on a connection and waits for its answer.
-    async fn send(&self, mut connection: Connection, arrival: &Arrival, number: u32, due: Instant) -> Sent {
+    async fn send(
+        &self,
+        mut connection: Connection,
+        arrival: &Arrival,
+        attempt_number: u32,
+        due: Instant,
+    ) -> SendOutcome {
         let pool = &self.pools[arrival.target];
-        let left = self.left(due);
-        if left.is_zero() {
-            pool.keep(connection);
-            return Sent::Ended(TryEnd::Failed);
+        let remaining = self.remaining(due);
+        if remaining.is_zero() {
+            pool.put_back(connection);
+            return SendOutcome::Finished(AttemptOutcome::Failed);
         }
-        let request = self.requests.request(arrival, number, left);
-        let (carried, sent_at) = (connection.carried(), Instant::now());
-        let give_up = due + self.limits.deadline + self.limits.grace;
-        let Ok(exchanged) = timeout_at(give_up.into(), connection.exchange(request)).await else {
-            return Sent::Ended(TryEnd::Lost);
+        let request = self.request_builder.build(arrival, attempt_number, remaining);
+        let (reused, sent_at) = (connection.has_answered(), Instant::now());
+        let give_up_at = due + self.limits.deadline + self.limits.grace;
+        let Ok(exchange_result) = timeout_at(give_up_at.into(), connection.exchange(request)).await else {
+            return SendOutcome::Finished(AttemptOutcome::Lost);
         };
-        match exchanged {
+        match exchange_result {
             Ok(answer) => {
-                pool.keep(connection);
-                Sent::Ended(self.answered(answer, due))
+                pool.put_back(connection);
+                SendOutcome::Finished(self.outcome_of_answer(answer, due))
             }
-            Err(ExchangeError::NotSent) if carried => Sent::Unsent,
-            Err(ExchangeError::Closed(_)) if carried && sent_at.elapsed() <= self.limits.crossing => {
-                Sent::Crossed
+            Err(ExchangeError::NotSent) if reused => SendOutcome::NotSent,
+            Err(ExchangeError::Closed(_)) if reused && sent_at.elapsed() <= self.limits.close_race_window => {
+                SendOutcome::ClosedInFlight
+            }
+            Err(ExchangeError::Closed(_)) if reused => {
+                SendOutcome::Finished(self.outcome_after_close(pool, due).await)
             }
-            Err(ExchangeError::Closed(_)) if carried => Sent::Ended(self.after_close(pool, due).await),
             // The first request on a connection that is closed has failed, whatever became of it.
-            Err(_) => Sent::Ended(TryEnd::Failed),
+            Err(_) => SendOutcome::Finished(AttemptOutcome::Failed),
         }
     }
 
     /// This connection or else a new one, if one comes up in time.
-    async fn or_new(&self, idle: Option<Connection>, pool: &Pool, due: Instant) -> Option<Connection> {
+    async fn reuse_or_open(&self, idle: Option<Connection>, pool: &Pool, due: Instant) -> Option<Connection> {
         if idle.is_some() {
             return idle;
         }
-        let opened = timeout_at((due + self.limits.deadline).into(), pool.open()).await.ok()?;
-        opened.inspect_err(|error| self.log_own_fault(error)).ok()
+        let opened = timeout_at((due + self.limits.deadline).into(), pool.open_new()).await.ok()?;
+        opened.inspect_err(|error| self.log_local_error(error)).ok()
     }
 
     /// Logs the first connection that failed for another reason than the other side's: calls then fail for the
     /// client's own limits.
-    fn log_own_fault(&self, error: &io::Error) {
-        let others =
+    fn log_local_error(&self, error: &io::Error) {
+        let remote_error =
             matches!(error.kind(), io::ErrorKind::ConnectionRefused | io::ErrorKind::ConnectionReset);
-        if !others && !self.logged.swap(true, Ordering::Relaxed) {
+        if !remote_error && !self.local_error_logged.swap(true, Ordering::Relaxed) {
             tracing::warn!(%error, "a client cannot open a connection");
         }
     }
 
     /// What a close under a request that had been read means: a balancer that lives has lost it, one that is gone
     /// has not.
-    async fn after_close(&self, pool: &Pool, due: Instant) -> TryEnd {
-        match self.or_new(None, pool, due).await {
+    async fn outcome_after_close(&self, pool: &Pool, due: Instant) -> AttemptOutcome {
+        match self.reuse_or_open(None, pool, due).await {
             Some(connection) => {
-                pool.keep(connection);
-                TryEnd::Lost
+                pool.put_back(connection);
+                AttemptOutcome::Lost
             }
-            None => TryEnd::Failed,
+            None => AttemptOutcome::Failed,
         }
     }
 
-    fn answered(&self, answer: Answer, due: Instant) -> TryEnd {
+    fn outcome_of_answer(&self, answer: Answer, due: Instant) -> AttemptOutcome {
         match answer.status {
-            _ if due.elapsed() > self.limits.deadline => TryEnd::Failed,
-            StatusCode::OK => TryEnd::Served,
+            _ if due.elapsed() > self.limits.deadline => AttemptOutcome::Failed,
+            StatusCode::OK => AttemptOutcome::Served,
             StatusCode::TOO_MANY_REQUESTS | StatusCode::SERVICE_UNAVAILABLE => {
-                TryEnd::Refused { retry_after: answer.retry_after }
+                AttemptOutcome::Refused { retry_after: answer.retry_after }
             }
-            _ => TryEnd::Failed,
+            _ => AttemptOutcome::Failed,
         }
     }
 }
 
 /// How long a client waits before it repeats a refused call.
-fn wait(retry_after: Option<Duration>) -> Duration {
-    retry_after.map_or(RETRY_WAIT, |advice| advice.min(Duration::from_secs_f64(RETRY_AFTER_MOST_S)))
+fn retry_delay(retry_after: Option<Duration>) -> Duration {
+    retry_after.map_or(DEFAULT_RETRY_DELAY, |advised| advised.min(Duration::from_secs_f64(MAX_RETRY_AFTER_S)))
 }
--- a/scale/src/client/connection.rs
+++ b/scale/src/client/connection.rs
@@ -15,14 +15,14 @@
 use tokio::net::TcpStream;
 
 /// The request as it is sent.
-pub(super) type Outgoing = Request<Full<Bytes>>;
+pub(super) type ClientRequest = Request<Full<Bytes>>;
 
 /// A connection that is open. Dropping it closes it, also under a request.
 #[derive(Debug)]
 pub(super) struct Connection {
     sender: SendRequest<Full<Bytes>>,
     /// It has carried a request that was answered.
-    carried: bool,
+    has_answered: bool,
 }
 
 /// An answer that came whole.
@@ -55,12 +55,12 @@
         let (sender, connection) = http1::handshake(TokioIo::new(stream)).await.map_err(io::Error::other)?;
         // It ends with the sender, and tells it of any other end.
         tokio::spawn(connection);
-        Ok(Self { sender, carried: false })
+        Ok(Self { sender, has_answered: false })
     }
 
     /// Whether it has carried a request that was answered.
-    pub(super) fn carried(&self) -> bool {
-        self.carried
+    pub(super) fn has_answered(&self) -> bool {
+        self.has_answered
     }
 
     /// Whether it is known that no further request can be sent on it.
@@ -69,30 +69,30 @@
     }
 
     /// Sends a request and reads the answer to its last byte.
-    pub(super) async fn exchange(&mut self, request: Outgoing) -> Result<Answer, ExchangeError> {
+    pub(super) async fn exchange(&mut self, request: ClientRequest) -> Result<Answer, ExchangeError> {
         self.sender.ready().await.map_err(|_| ExchangeError::NotSent)?;
         let sent = self.sender.try_send_request(request).await;
         let response = sent.map_err(|mut error| match error.take_message() {
             Some(_) => ExchangeError::NotSent,
-            None => ended(error.into_error()),
+            None => classify_error(error.into_error()),
         })?;
-        let answer = Answer { status: response.status(), retry_after: retry_after(&response) };
+        let answer = Answer { status: response.status(), retry_after: parse_retry_after(&response) };
         let mut body = response.into_body();
         while let Some(frame) = body.frame().await {
             frame.map_err(ExchangeError::Broken)?;
         }
-        self.carried = true;
+        self.has_answered = true;
         Ok(answer)
     }
 }
 
 /// What the end of an exchange without an answer means: an answer that makes no sense is not a close.
-fn ended(error: hyper::Error) -> ExchangeError {
+fn classify_error(error: hyper::Error) -> ExchangeError {
     if error.is_parse() { ExchangeError::Broken(error) } else { ExchangeError::Closed(error) }
 }
 
 /// Seconds of `Retry-After`, whole or decimal; dates and nonsense are passed over.
-fn retry_after(response: &Response<Incoming>) -> Option<Duration> {
+fn parse_retry_after(response: &Response<Incoming>) -> Option<Duration> {
     let seconds = response.headers().get(RETRY_AFTER)?.to_str().ok()?.trim().parse().ok()?;
     Duration::try_from_secs_f64(seconds).ok()
 }
--- a/scale/src/client/dispatch.rs
+++ b/scale/src/client/dispatch.rs
@@ -12,16 +12,16 @@
 use super::caller::Caller;
 
 /// Calls of one route that are out at a time at most: beyond it the machine is what is measured.
-pub(super) const OUTSTANDING_MOST: usize = 4096;
+pub(super) const MAX_IN_FLIGHT_CALLS: usize = 4096;
 /// Longest sleep between two looks at whether the run goes on.
-const LOOK: Duration = Duration::from_millis(50);
+const STOP_CHECK_INTERVAL: Duration = Duration::from_millis(50);
 /// Overload is logged once in so long at most.
-const LOG_EVERY: Duration = Duration::from_secs(1);
+const MIN_LOG_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Ends the dispatch when dropped.
-struct Stop(Arc<AtomicBool>);
+struct StopOnDrop(Arc<AtomicBool>);
 
-impl Drop for Stop {
+impl Drop for StopOnDrop {
     fn drop(&mut self) {
         self.0.store(true, Ordering::Relaxed);
     }
@@ -29,20 +29,26 @@
 
 /// Makes all calls of a route and returns when the last has ended. Dropped before, it makes no further ones and
 /// gives up those that are out.
-pub(super) async fn make_calls(arrivals: Arrivals, caller: Arc<Caller>, start: Instant, most: usize) {
-    let stop = Stop(Arc::default());
+pub(super) async fn make_calls(
+    arrivals: Arrivals,
+    caller: Arc<Caller>,
+    load_start: Instant,
+    max_in_flight: usize,
+) {
+    let stop = StopOnDrop(Arc::default());
     let dispatch = Dispatch {
         caller,
-        start,
-        most,
-        stopped: Arc::clone(&stop.0),
+        load_start,
+        max_in_flight,
+        stop_requested: Arc::clone(&stop.0),
         runtime: Handle::current(),
         calls: JoinSet::new(),
-        logged: None,
+        overload_logged_at: None,
     };
     // A thread of its own: the runtime's timers are a millisecond coarse.
-    let dispatched = spawn_blocking(move || dispatch.run(arrivals)).await;
-    let Ok(mut calls) = dispatched.inspect_err(|error| tracing::error!(%error, "no calls are made any more"))
+    let dispatch_result = spawn_blocking(move || dispatch.run(arrivals)).await;
+    let Ok(mut calls) =
+        dispatch_result.inspect_err(|error| tracing::error!(%error, "no calls are made any more"))
     else {
         return;
     };
@@ -53,60 +59,63 @@
 
 struct Dispatch {
     caller: Arc<Caller>,
-    start: Instant,
+    load_start: Instant,
     /// Calls that may be out at a time.
-    most: usize,
-    stopped: Arc<AtomicBool>,
+    max_in_flight: usize,
+    stop_requested: Arc<AtomicBool>,
     runtime: Handle,
     calls: JoinSet<()>,
     /// When overload was logged last.
-    logged: Option<Instant>,
+    overload_logged_at: Option<Instant>,
 }
 
 impl Dispatch {
     /// Starts each call at its time; gives those that are still out.
     fn run(mut self, arrivals: Arrivals) -> JoinSet<()> {
         for arrival in arrivals {
-            let due = self.start + arrival.at;
+            let due = self.load_start + arrival.offset;
             if !self.sleep_until(due) {
                 break;
             }
             while let Some(ended) = self.calls.try_join_next() {
                 log_panic(ended);
             }
-            self.begin(arrival, due);
+            self.start_call(arrival, due);
         }
         self.calls
     }
 
-    fn begin(&mut self, arrival: Arrival, due: Instant) {
-        if self.calls.len() >= self.most {
-            self.caller.unsent(&arrival, due);
+    fn start_call(&mut self, arrival: Arrival, due: Instant) {
+        if self.calls.len() >= self.max_in_flight {
+            self.caller.record_unsent(&arrival, due);
             self.log_overload();
             return;
         }
         let caller = Arc::clone(&self.caller);
-        self.calls.spawn_on(async move { caller.call(arrival, due).await }, &self.runtime);
+        self.calls.spawn_on(async move { caller.run_call(arrival, due).await }, &self.runtime);
     }
 
     /// Whether the run still goes on at that time.
     fn sleep_until(&self, due: Instant) -> bool {
         loop {
-            if self.stopped.load(Ordering::Relaxed) {
+            if self.stop_requested.load(Ordering::Relaxed) {
                 return false;
             }
-            let left = due.saturating_duration_since(Instant::now());
-            if left.is_zero() {
+            let remaining = due.saturating_duration_since(Instant::now());
+            if remaining.is_zero() {
                 return true;
             }
-            thread::sleep(left.min(LOOK));
+            thread::sleep(remaining.min(STOP_CHECK_INTERVAL));
         }
     }
 
     fn log_overload(&mut self) {
-        if self.logged.is_none_or(|at| at.elapsed() >= LOG_EVERY) {
-            tracing::warn!(outstanding = self.most, "the client is overloaded: calls are not sent and fail");
-            self.logged = Some(Instant::now());
+        if self.overload_logged_at.is_none_or(|at| at.elapsed() >= MIN_LOG_INTERVAL) {
+            tracing::warn!(
+                outstanding = self.max_in_flight,
+                "the client is overloaded: calls are not sent and fail"
+            );
+            self.overload_logged_at = Some(Instant::now());
         }
     }
 }
--- a/scale/src/client/pool.rs
+++ b/scale/src/client/pool.rs
@@ -20,7 +20,7 @@
     }
 
     /// The connection between requests that was used last, if there is one.
-    pub(super) fn idle(&self) -> Option<Connection> {
+    pub(super) fn take_idle(&self) -> Option<Connection> {
         let mut idle = self.lock();
         while let Some(connection) = idle.pop() {
             if !connection.is_closed() {
@@ -31,12 +31,12 @@
     }
 
     /// Opens a new connection.
-    pub(super) async fn open(&self) -> io::Result<Connection> {
+    pub(super) async fn open_new(&self) -> io::Result<Connection> {
         Connection::open(self.address).await
     }
 
     /// Takes a connection back after an answer.
-    pub(super) fn keep(&self, connection: Connection) {
+    pub(super) fn put_back(&self, connection: Connection) {
         if !connection.is_closed() {
             self.lock().push(connection);
         }
--- a/scale/src/client/request.rs
+++ b/scale/src/client/request.rs
@@ -10,57 +10,58 @@
 use hyper::{Method, Request, Uri};
 
 use super::arrivals::{Arrival, Class};
-use super::connection::Outgoing;
-use crate::process::settings::{TENANTS, tenant_name};
+use super::connection::ClientRequest;
+use crate::process::settings::{TENANT_COUNT, tenant_name};
 
-const REQUEST_ID: HeaderName = HeaderName::from_static("x-request-id");
-const TENANT: HeaderName = HeaderName::from_static("x-tenant");
-const DEADLINE: HeaderName = HeaderName::from_static("x-deadline");
+const REQUEST_ID_HEADER: HeaderName = HeaderName::from_static("x-request-id");
+const TENANT_HEADER: HeaderName = HeaderName::from_static("x-tenant");
+const DEADLINE_HEADER: HeaderName = HeaderName::from_static("x-deadline");
 /// Body of a request of the class that must not run twice.
 const ORDER_BODY: &[u8] = b"one order";
 
 /// The parts of requests that do not change, made once.
 #[derive(Debug)]
-pub(super) struct Requests {
+pub(super) struct RequestBuilder {
     /// Number of the hop that a request arrives at.
     hop: u32,
     /// By hops and number of the tenant.
-    reads: BTreeMap<(u32, u32), Uri>,
-    orders: BTreeMap<(u32, u32), Uri>,
-    hosts: Vec<HeaderValue>,
-    tenants: Vec<HeaderValue>,
+    read_uris: BTreeMap<(u32, u32), Uri>,
+    order_uris: BTreeMap<(u32, u32), Uri>,
+    host_headers: Vec<HeaderValue>,
+    tenant_headers: Vec<HeaderValue>,
 }
 
-impl Requests {
+impl RequestBuilder {
     /// For requests of these depths to these targets.
     pub(super) fn new(hop: u32, depths: impl Iterator<Item = u32> + Clone, targets: &[SocketAddr]) -> Self {
-        let each = || depths.clone().flat_map(|hops| (0..TENANTS).map(move |tenant| (hops, tenant)));
+        let combinations =
+            || depths.clone().flat_map(|hops| (0..TENANT_COUNT).map(move |tenant| (hops, tenant)));
         let uris = |class: Class| {
-            each().map(|(hops, tenant)| ((hops, tenant), uri(class, hops, hop, tenant))).collect()
+            combinations().map(|(hops, tenant)| ((hops, tenant), uri(class, hops, hop, tenant))).collect()
         };
-        let (reads, orders) = (uris(Class::Read), uris(Class::Order));
-        let hosts = targets.iter().map(|address| value(&address.to_string())).collect();
-        let tenants = (0..TENANTS).map(|number| value(&tenant_name(number))).collect();
-        Self { hop, reads, orders, hosts, tenants }
+        let (read_uris, order_uris) = (uris(Class::Read), uris(Class::Order));
+        let host_headers = targets.iter().map(|address| header_value(&address.to_string())).collect();
+        let tenant_headers = (0..TENANT_COUNT).map(|number| header_value(&tenant_name(number))).collect();
+        Self { hop, read_uris, order_uris, host_headers, tenant_headers }
     }
 
-    /// The request of a call's try, counted from 0, whose client waits for `left`.
-    pub(super) fn request(&self, arrival: &Arrival, number: u32, left: Duration) -> Outgoing {
+    /// The request of a call's try, counted from 0, whose client waits for `remaining`.
+    pub(super) fn build(&self, arrival: &Arrival, attempt_number: u32, remaining: Duration) -> ClientRequest {
         let (method, uris, body) = match arrival.class {
-            Class::Read => (Method::GET, &self.reads, Full::default()),
-            Class::Order => (Method::POST, &self.orders, Full::new(Bytes::from_static(ORDER_BODY))),
+            Class::Read => (Method::GET, &self.read_uris, Full::default()),
+            Class::Order => (Method::POST, &self.order_uris, Full::new(Bytes::from_static(ORDER_BODY))),
         };
         let mut request = Request::new(body);
         *request.method_mut() = method;
-        let known = uris.get(&(arrival.hops, arrival.tenant)).cloned();
-        let made = || uri(arrival.class, arrival.hops, self.hop, arrival.tenant);
-        *request.uri_mut() = known.unwrap_or_else(made);
-        let id = arrival.id.wrapping_add(u64::from(number));
+        let prepared = uris.get(&(arrival.hops, arrival.tenant)).cloned();
+        let build_uri = || uri(arrival.class, arrival.hops, self.hop, arrival.tenant);
+        *request.uri_mut() = prepared.unwrap_or_else(build_uri);
+        let request_id = arrival.first_request_id.wrapping_add(u64::from(attempt_number));
         let headers = request.headers_mut();
-        headers.insert(HOST, self.hosts[arrival.target].clone());
-        headers.insert(REQUEST_ID, value(&format!("{id:016x}")));
-        headers.insert(TENANT, self.tenants[arrival.tenant as usize].clone());
-        headers.insert(DEADLINE, value(&format!("{:.6}", left.as_secs_f64())));
+        headers.insert(HOST, self.host_headers[arrival.target].clone());
+        headers.insert(REQUEST_ID_HEADER, header_value(&format!("{request_id:016x}")));
+        headers.insert(TENANT_HEADER, self.tenant_headers[arrival.tenant as usize].clone());
+        headers.insert(DEADLINE_HEADER, header_value(&format!("{:.6}", remaining.as_secs_f64())));
         request
     }
 }
@@ -72,6 +73,6 @@
     text.parse().expect("a path of plain letters and digits")
 }
 
-fn value(text: &str) -> HeaderValue {
+fn header_value(text: &str) -> HeaderValue {
     HeaderValue::from_str(text).expect("plain letters and digits")
 }
--- a/scale/src/client/tests.rs
+++ b/scale/src/client/tests.rs
@@ -17,9 +17,10 @@
 use server::{Reply, Server, answer, answer_with};
 
 /// Longer than anything takes that works.
-const LONG: Duration = Duration::from_secs(30);
+const TEST_TIMEOUT: Duration = Duration::from_secs(30);
 /// Time limits that nothing meets.
-const LIMITS: Limits = Limits { deadline: LONG, grace: LONG, crossing: LONG };
+const UNREACHED_LIMITS: Limits =
+    Limits { deadline: TEST_TIMEOUT, grace: TEST_TIMEOUT, close_race_window: TEST_TIMEOUT };
 
 fn scenario() -> Scenario {
     let text = "name = 'test'\nduration_s = 0.5\n[fleet]\nservices = 0\nhollow = 0\nreal = 1\n\
@@ -35,10 +36,10 @@
 
 impl Clients {
     fn new(address: SocketAddr, limits: Limits, retries: u32) -> Self {
-        Self::of(Route::Balancers, address, limits, retries)
+        Self::on_route(Route::Balancers, address, limits, retries)
     }
 
-    fn of(route: Route, address: SocketAddr, limits: Limits, retries: u32) -> Self {
+    fn on_route(route: Route, address: SocketAddr, limits: Limits, retries: u32) -> Self {
         let mut load = scenario().load;
         load.client_retries = retries;
         let record = Arc::<Record>::default();
@@ -48,116 +49,130 @@
 
     /// Makes a call now, and tells how it ended.
     async fn call(&self, arrival: Arrival) -> Call {
-        self.caller.call(arrival, Instant::now()).await;
+        self.caller.run_call(arrival, Instant::now()).await;
         let measured = self.record.measured();
         *measured.calls.last().expect("a call that was made is recorded")
     }
 
-    async fn end(&self) -> CallEnd {
+    async fn call_end(&self) -> CallEnd {
         self.call(ARRIVAL).await.end
     }
 }
 
 const ARRIVAL: Arrival = Arrival {
-    at: Duration::ZERO,
+    offset: Duration::ZERO,
     hops: 3,
     class: Class::Read,
     tenant: 2,
     target: 0,
-    leaves_after: None,
-    id: 0x1f,
+    disconnect_after: None,
+    first_request_id: 0x1f,
 };
 
 /// Clients of a server whose first request on each connection is answered, and each later one as scripted.
-async fn after_first(limits: Limits, reply: impl Fn() -> Reply + Send + Sync + 'static) -> (Server, Clients) {
+async fn clients_after_first_answer(
+    limits: Limits,
+    reply: impl Fn() -> Reply + Send + Sync + 'static,
+) -> (Server, Clients) {
     let server = Server::start(move |request| if request.number == 0 { answer("200 OK") } else { reply() });
     let clients = Clients::new(server.address, limits, 0);
-    assert_eq!(clients.end().await, CallEnd::Served);
+    assert_eq!(clients.call_end().await, CallEnd::Served);
     (server, clients)
 }
 
 #[tokio::test]
 async fn a_request_has_the_form_of_the_protocol() {
     let server = Server::start(|_| answer("200 OK"));
-    let clients = Clients::new(server.address, LIMITS, 0);
+    let clients = Clients::new(server.address, UNREACHED_LIMITS, 0);
     let call = clients.call(ARRIVAL).await;
     assert_eq!((call.end, call.hops), (CallEnd::Served, 3));
     clients.call(Arrival { class: Class::Order, ..ARRIVAL }).await;
-    let seen = server.seen();
-    assert!(seen.iter().all(|request| request.connection == 0), "the connection is kept");
-    assert_eq!(seen[0].line, "GET /read?hops=3&hop=1&tenant=tenant-2");
-    assert_eq!(seen[1].line, "POST /order?hops=3&hop=1&tenant=tenant-2");
+    let requests = server.requests();
+    assert!(requests.iter().all(|request| request.connection == 0), "the connection is kept");
+    assert_eq!(requests[0].line, "GET /read?hops=3&hop=1&tenant=tenant-2");
+    assert_eq!(requests[1].line, "POST /order?hops=3&hop=1&tenant=tenant-2");
     assert_eq!(
-        (seen[0].header("x-request-id"), seen[0].header("x-tenant")),
+        (requests[0].header("x-request-id"), requests[0].header("x-tenant")),
         ("000000000000001f", "tenant-2")
     );
-    assert_eq!(seen[0].header("host"), server.address.to_string());
-    let told: f64 = seen[0].header("x-deadline").parse().expect("seconds");
-    assert!(told > 0.0 && told <= LONG.as_secs_f64(), "{told}");
+    assert_eq!(requests[0].header("host"), server.address.to_string());
+    let deadline_s: f64 = requests[0].header("x-deadline").parse().expect("seconds");
+    assert!(deadline_s > 0.0 && deadline_s <= TEST_TIMEOUT.as_secs_f64(), "{deadline_s}");
     let measured = clients.record.measured();
     assert_eq!(measured.hop_calls[0][&1], 2);
-    assert_eq!((measured.by_hops_us[&3].count(), measured.client_lag_us.count()), (2, 2));
+    assert_eq!((measured.latency_by_hops_us[&3].count(), measured.client_lag_us.count()), (2, 2));
 }
 
 #[tokio::test]
 async fn other_answers_fail_and_so_does_a_refused_connection() {
-    let dead = ReservedPort::any().expect("a free port");
-    assert_eq!(Clients::new(dead.address(), LIMITS, 0).end().await, CallEnd::Failed);
+    let unused_port = ReservedPort::any().expect("a free port");
+    assert_eq!(Clients::new(unused_port.address(), UNREACHED_LIMITS, 0).call_end().await, CallEnd::Failed);
     for status in ["500 Internal Server Error", "400 Bad Request", "201 Created"] {
         let server = Server::start(move |_| answer(status));
-        assert_eq!(Clients::new(server.address, LIMITS, 0).end().await, CallEnd::Failed, "{status}");
+        assert_eq!(
+            Clients::new(server.address, UNREACHED_LIMITS, 0).call_end().await,
+            CallEnd::Failed,
+            "{status}"
+        );
     }
 }
 
 #[tokio::test]
-async fn an_answer_that_breaks_off_or_is_none_fails() {
+async fn a_truncated_or_malformed_answer_fails() {
     for bytes in ["HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nok", "good morning\r\n\r\n"] {
-        let (_server, clients) =
-            after_first(LIMITS, move || Reply::Close(Duration::ZERO, bytes.to_owned())).await;
-        assert_eq!(clients.end().await, CallEnd::Failed, "{bytes}");
+        let (_server, clients) = clients_after_first_answer(UNREACHED_LIMITS, move || {
+            Reply::Close(Duration::ZERO, bytes.to_owned())
+        })
+        .await;
+        assert_eq!(clients.call_end().await, CallEnd::Failed, "{bytes}");
     }
 }
 
 #[tokio::test]
 async fn a_late_answer_fails() {
-    let limits = Limits { deadline: Duration::from_millis(200), ..LIMITS };
+    let limits = Limits { deadline: Duration::from_millis(200), ..UNREACHED_LIMITS };
     let wait = Duration::from_millis(300);
-    let server = Server::start(move |_| Reply::Later(wait, answer_with("200 OK", "")));
-    assert_eq!(Clients::new(server.address, limits, 0).end().await, CallEnd::Failed);
+    let server = Server::start(move |_| Reply::WriteAfter(wait, answer_with("200 OK", "")));
+    assert_eq!(Clients::new(server.address, limits, 0).call_end().await, CallEnd::Failed);
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn no_answer_at_all_is_lost_when_the_grace_is_over() {
+async fn a_call_without_any_answer_is_lost_after_the_grace_period() {
     let (deadline, grace) = (Duration::from_secs(1), Duration::from_millis(200));
     let server = Server::start(|_| Reply::Silence);
-    let call = Clients::new(server.address, Limits { deadline, grace, ..LIMITS }, 0).call(ARRIVAL).await;
+    let call =
+        Clients::new(server.address, Limits { deadline, grace, ..UNREACHED_LIMITS }, 0).call(ARRIVAL).await;
     assert_eq!(call.end, CallEnd::Lost);
-    assert!(call.took >= deadline + grace, "{call:?}");
-    assert_eq!(server.closed(), 0);
+    assert!(call.latency >= deadline + grace, "{call:?}");
+    assert_eq!(server.next_closed_connection(), 0);
 }
 
 #[tokio::test]
 async fn a_first_request_whose_connection_is_closed_fails_and_is_not_sent_again() {
     let server = Server::start(|_| Reply::Close(Duration::ZERO, String::new()));
-    let clients = Clients::new(server.address, LIMITS, 0);
-    assert_eq!(clients.end().await, CallEnd::Failed);
-    assert_eq!(server.seen().len(), 1);
+    let clients = Clients::new(server.address, UNREACHED_LIMITS, 0);
+    assert_eq!(clients.call_end().await, CallEnd::Failed);
+    assert_eq!(server.requests().len(), 1);
 }
 
 #[tokio::test]
-async fn a_request_that_a_close_crossed_is_sent_once_more_and_not_again() {
+async fn a_request_that_races_with_a_close_is_sent_once_more_and_not_again() {
     for end in [CallEnd::Served, CallEnd::Failed] {
         let server = Server::start(move |request| match (request.connection, request.number) {
             (0, 0) => answer("200 OK"),
             (1, 0) if end == CallEnd::Served => answer("200 OK"),
             _ => Reply::Close(Duration::ZERO, String::new()),
         });
-        let clients = Clients::new(server.address, LIMITS, 0);
-        assert_eq!(clients.end().await, CallEnd::Served);
-        assert_eq!(clients.end().await, end);
-        let seen = server.seen();
-        assert!(seen.iter().map(|request| (request.connection, request.number)).eq([(0, 0), (0, 1), (1, 0)]));
-        assert_eq!(seen[1].header("x-request-id"), seen[2].header("x-request-id"));
+        let clients = Clients::new(server.address, UNREACHED_LIMITS, 0);
+        assert_eq!(clients.call_end().await, CallEnd::Served);
+        assert_eq!(clients.call_end().await, end);
+        let requests = server.requests();
+        assert!(requests.iter().map(|request| (request.connection, request.number)).eq([
+            (0, 0),
+            (0, 1),
+            (1, 0)
+        ]));
+        assert_eq!(requests[1].header("x-request-id"), requests[2].header("x-request-id"));
         assert_eq!(clients.record.measured().client_resent, 1);
         assert_eq!(clients.record.measured().hop_calls[0][&1], 2);
     }
@@ -165,18 +180,19 @@
 
 #[tokio::test]
 async fn a_request_that_was_read_and_never_answered_is_lost() {
-    let limits = Limits { crossing: Duration::from_millis(50), ..LIMITS };
+    let limits = Limits { close_race_window: Duration::from_millis(50), ..UNREACHED_LIMITS };
     let wait = Duration::from_millis(100);
-    let (server, clients) = after_first(limits, move || Reply::Close(wait, String::new())).await;
-    assert_eq!(clients.end().await, CallEnd::Lost);
-    assert_eq!(server.seen().len(), 2);
+    let (server, clients) =
+        clients_after_first_answer(limits, move || Reply::Close(wait, String::new())).await;
+    assert_eq!(clients.call_end().await, CallEnd::Lost);
+    assert_eq!(server.requests().len(), 2);
 }
 
 #[tokio::test]
-async fn a_close_by_a_server_that_is_gone_fails() {
+async fn a_close_by_a_server_that_has_ended_fails() {
     let port = ReservedPort::any().expect("a free port");
     let listener = TcpListener::bind(port.address()).expect("it may be shared");
-    let gone = std::thread::spawn(move || {
+    let server = std::thread::spawn(move || {
         let (mut stream, _) = listener.accept().expect("a client");
         let mut bytes = [0; 1024];
         let _ = std::io::Read::read(&mut stream, &mut bytes);
@@ -186,10 +202,14 @@
         // Other threads may start programs just now, which hold it for a moment too.
         SockRef::from(&listener).shutdown(Shutdown::Both).expect("it listens");
     });
-    let clients = Clients::new(port.address(), Limits { crossing: Duration::from_millis(50), ..LIMITS }, 0);
-    assert_eq!(clients.end().await, CallEnd::Served);
-    assert_eq!(clients.end().await, CallEnd::Failed);
-    gone.join().expect("no panic");
+    let clients = Clients::new(
+        port.address(),
+        Limits { close_race_window: Duration::from_millis(50), ..UNREACHED_LIMITS },
+        0,
+    );
+    assert_eq!(clients.call_end().await, CallEnd::Served);
+    assert_eq!(clients.call_end().await, CallEnd::Failed);
+    server.join().expect("no panic");
 }
 
 #[tokio::test]
@@ -201,9 +221,9 @@
             answer("200 OK")
         }
     });
-    let clients = Clients::new(server.address, LIMITS, 0);
-    assert_eq!(clients.end().await, CallEnd::Served);
-    assert_eq!(clients.end().await, CallEnd::Served);
+    let clients = Clients::new(server.address, UNREACHED_LIMITS, 0);
+    assert_eq!(clients.call_end().await, CallEnd::Served);
+    assert_eq!(clients.call_end().await, CallEnd::Served);
     assert_eq!(clients.record.measured().client_resent, 0);
 }
 
@@ -215,11 +235,11 @@
             0 => Reply::Write(refusal.clone()),
             _ => answer("200 OK"),
         });
-        let clients = Clients::new(server.address, LIMITS, 2);
-        assert_eq!(clients.end().await, CallEnd::Served);
-        let seen = server.seen();
-        assert!(seen[1].at - seen[0].at >= Duration::from_millis(200));
-        assert_ne!(seen[0].header("x-request-id"), seen[1].header("x-request-id"));
+        let clients = Clients::new(server.address, UNREACHED_LIMITS, 2);
+        assert_eq!(clients.call_end().await, CallEnd::Served);
+        let requests = server.requests();
+        assert!(requests[1].received_at - requests[0].received_at >= Duration::from_millis(200));
+        assert_ne!(requests[0].header("x-request-id"), requests[1].header("x-request-id"));
         assert_eq!(clients.record.measured().hop_calls[0][&1], 2);
     }
 }
@@ -227,33 +247,36 @@
 #[tokio::test]
 async fn a_call_that_is_refused_each_time_ends_after_its_repeats() {
     let server = Server::start(|_| answer("503 Service Unavailable"));
-    assert_eq!(Clients::new(server.address, LIMITS, 2).end().await, CallEnd::Refused);
-    assert_eq!(server.seen().len(), 3);
+    assert_eq!(Clients::new(server.address, UNREACHED_LIMITS, 2).call_end().await, CallEnd::Refused);
+    assert_eq!(server.requests().len(), 3);
 }
 
 #[tokio::test]
 async fn no_repeat_begins_after_the_deadline() {
     let server = Server::start(|_| Reply::Write(answer_with("503 No", "Retry-After: 9\r\n")));
-    let limits = Limits { deadline: Duration::from_millis(1400), ..LIMITS };
-    assert_eq!(Clients::new(server.address, limits, 2).end().await, CallEnd::Refused);
-    assert_eq!(server.seen().len(), 1);
+    let limits = Limits { deadline: Duration::from_millis(1400), ..UNREACHED_LIMITS };
+    assert_eq!(Clients::new(server.address, limits, 2).call_end().await, CallEnd::Refused);
+    assert_eq!(server.requests().len(), 1);
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_client_that_leaves_closes_its_connection() {
     let server = Server::start(|_| Reply::Silence);
-    let arrival = Arrival { leaves_after: Some(Duration::from_millis(500)), ..ARRIVAL };
-    assert_eq!(Clients::new(server.address, LIMITS, 0).call(arrival).await.end, CallEnd::Left);
-    assert_eq!(server.closed(), 0);
+    let arrival = Arrival { disconnect_after: Some(Duration::from_millis(500)), ..ARRIVAL };
+    assert_eq!(
+        Clients::new(server.address, UNREACHED_LIMITS, 0).call(arrival).await.end,
+        CallEnd::ClientLeft
+    );
+    assert_eq!(server.next_closed_connection(), 0);
 }
 
 #[tokio::test]
-async fn straight_calls_count_by_their_times_alone() {
+async fn direct_calls_record_only_their_latency() {
     let server = Server::start(|_| answer("200 OK"));
-    let clients = Clients::of(Route::Nodes, server.address, LIMITS, 0);
-    clients.caller.call(ARRIVAL, Instant::now()).await;
-    assert_eq!(server.seen()[0].line, "GET /read?hops=3&hop=0&tenant=tenant-2");
+    let clients = Clients::on_route(Route::Nodes, server.address, UNREACHED_LIMITS, 0);
+    clients.caller.run_call(ARRIVAL, Instant::now()).await;
+    assert_eq!(server.requests()[0].line, "GET /read?hops=3&hop=0&tenant=tenant-2");
     let measured = clients.record.measured();
-    assert_eq!(measured.direct_us.count(), 1);
+    assert_eq!(measured.direct_latency_us.count(), 1);
     assert!(measured.calls.is_empty() && measured.hop_calls[0].is_empty());
 }
--- a/scale/src/client/tests/open_loop.rs
+++ b/scale/src/client/tests/open_loop.rs
@@ -5,38 +5,38 @@
 use std::time::{Duration, Instant};
 
 use super::server::{Reply, Server, answer, answer_with};
-use super::{Clients, LIMITS, LONG, scenario};
+use super::{Clients, TEST_TIMEOUT, UNREACHED_LIMITS, scenario};
 use crate::client::caller::Limits;
 use crate::client::dispatch::make_calls;
-use crate::client::{Arrivals, run_real};
+use crate::client::{Arrivals, run_load};
 use crate::process::ReservedPort;
 use crate::record::{CallEnd, Record};
 use crate::topology::Topology;
 
 /// A server that answers nobody before so many requests are there at once.
-fn gathering(count: usize) -> Server {
+fn answer_once_gathered(count: usize) -> Server {
     let gathered = Arc::new((Mutex::new(0), Condvar::new()));
     Server::start(move |_| {
-        let (there, changed) = &*gathered;
-        let mut there = there.lock().expect("no panic");
-        *there += 1;
+        let (arrived, changed) = &*gathered;
+        let mut arrived = arrived.lock().expect("no panic");
+        *arrived += 1;
         changed.notify_all();
-        let waited = changed.wait_timeout_while(there, LONG, |there| *there < count);
-        if waited.expect("no panic").1.timed_out() { Reply::Silence } else { answer("200 OK") }
+        let wait_result = changed.wait_timeout_while(arrived, TEST_TIMEOUT, |arrived| *arrived < count);
+        if wait_result.expect("no panic").1.timed_out() { Reply::Silence } else { answer("200 OK") }
     })
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_slow_server_does_not_slow_arrivals() {
     let scenario = scenario();
-    let count = Arrivals::through_balancers(&scenario, 1).count();
+    let count = Arrivals::to_balancers(&scenario, 1).count();
     assert!(count > 20, "{count}");
     // Only an open loop has them all out at once.
-    let server = gathering(count);
+    let server = answer_once_gathered(count);
     let record = Arc::<Record>::default();
     let topology = Topology::of(&scenario.fleet);
     let start = Instant::now();
-    run_real(&scenario, &topology, vec![server.address], Vec::new(), start, Arc::clone(&record)).await;
+    run_load(&scenario, &topology, vec![server.address], Vec::new(), start, Arc::clone(&record)).await;
     let measured = record.measured();
     assert_eq!(measured.calls.len(), count);
     assert!(measured.calls.iter().all(|call| call.end == CallEnd::Served));
@@ -44,7 +44,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn no_call_is_left_without_an_end() {
+async fn every_call_has_an_end() {
     let mut scenario = scenario();
     scenario.load.deadline_s = 0.2;
     scenario.load.leaving_share = 0.2;
@@ -57,30 +57,30 @@
         1 => Reply::Close(Duration::ZERO, String::new()),
         2 => answer("503 Service Unavailable"),
         3 => answer("500 Internal Server Error"),
-        4 => Reply::Later(Duration::from_millis(30), answer_with("200 OK", "Connection: close\r\n")),
+        4 => Reply::WriteAfter(Duration::from_millis(30), answer_with("200 OK", "Connection: close\r\n")),
         _ => answer("200 OK"),
     });
     let (record, topology) = (Arc::<Record>::default(), Topology::of(&scenario.fleet));
-    let dead = ReservedPort::any().expect("a free port");
-    let targets = [server.address, dead.address()];
+    let unused_port = ReservedPort::any().expect("a free port");
+    let targets = [server.address, unused_port.address()];
     let start = Instant::now();
-    run_real(&scenario, &topology, targets.to_vec(), targets.to_vec(), start, Arc::clone(&record)).await;
-    let drawn = Arrivals::through_balancers(&scenario, 2).count();
-    assert_eq!(record.measured().calls.len(), drawn);
+    run_load(&scenario, &topology, targets.to_vec(), targets.to_vec(), start, Arc::clone(&record)).await;
+    let drawn_count = Arrivals::to_balancers(&scenario, 2).count();
+    assert_eq!(record.measured().calls.len(), drawn_count);
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn an_overloaded_client_counts_what_it_does_not_send() {
-    const MOST: usize = 5;
+    const MAX_IN_FLIGHT: usize = 5;
     let scenario = scenario();
     let server = Server::start(|_| Reply::Silence);
-    let limits = Limits { deadline: Duration::from_secs(5), grace: Duration::ZERO, ..LIMITS };
+    let limits = Limits { deadline: Duration::from_secs(5), grace: Duration::ZERO, ..UNREACHED_LIMITS };
     let clients = Clients::new(server.address, limits, 0);
-    let arrivals = Arrivals::through_balancers(&scenario, 1);
-    let drawn = arrivals.clone().count();
-    make_calls(arrivals, Arc::new(clients.caller), Instant::now(), MOST).await;
+    let arrivals = Arrivals::to_balancers(&scenario, 1);
+    let drawn_count = arrivals.clone().count();
+    make_calls(arrivals, Arc::new(clients.caller), Instant::now(), MAX_IN_FLIGHT).await;
     let measured = clients.record.measured();
     let ended = |end| measured.calls.iter().filter(|call| call.end == end).count();
-    assert_eq!((ended(CallEnd::Lost), ended(CallEnd::Failed)), (MOST, drawn - MOST));
-    assert_eq!(measured.client_unsent as usize, drawn - MOST);
+    assert_eq!((ended(CallEnd::Lost), ended(CallEnd::Failed)), (MAX_IN_FLIGHT, drawn_count - MAX_IN_FLIGHT));
+    assert_eq!(measured.client_unsent as usize, drawn_count - MAX_IN_FLIGHT);
 }
--- a/scale/src/client/tests/server.rs
+++ b/scale/src/client/tests/server.rs
@@ -9,7 +9,7 @@
 
 /// A request as it came.
 #[derive(Debug, Clone)]
-pub(super) struct Seen {
+pub(super) struct ReceivedRequest {
     /// Number of its connection, from 0.
     pub(super) connection: usize,
     /// Number of the request on it, from 0.
@@ -17,10 +17,10 @@
     /// Method and path.
     pub(super) line: String,
     pub(super) headers: Vec<(String, String)>,
-    pub(super) at: Instant,
+    pub(super) received_at: Instant,
 }
 
-impl Seen {
+impl ReceivedRequest {
     pub(super) fn header(&self, name: &str) -> &str {
         let header = self.headers.iter().find(|(header, _)| header == name);
         header.map_or("", |(_, value)| value)
@@ -32,7 +32,7 @@
     /// Writes these bytes and goes on.
     Write(String),
     /// Writes these bytes after this time and goes on.
-    Later(Duration, String),
+    WriteAfter(Duration, String),
     /// Closes after this time, having written these bytes.
     Close(Duration, String),
     /// Says nothing until the client closes.
@@ -49,38 +49,39 @@
 
 pub(super) struct Server {
     pub(super) address: SocketAddr,
-    seen: Arc<Mutex<Vec<Seen>>>,
+    requests: Arc<Mutex<Vec<ReceivedRequest>>>,
     /// The connections that a client has closed, by number.
-    closed: Receiver<usize>,
+    closed_connections: Receiver<usize>,
 }
 
 impl Server {
-    pub(super) fn start(script: impl Fn(&Seen) -> Reply + Send + Sync + 'static) -> Self {
+    pub(super) fn start(script: impl Fn(&ReceivedRequest) -> Reply + Send + Sync + 'static) -> Self {
         let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).expect("a free port");
         let address = listener.local_addr().expect("bound");
-        let seen = Arc::new(Mutex::new(Vec::new()));
-        let (shared, script) = (Arc::clone(&seen), Arc::new(script));
-        let (close, closed) = mpsc::channel();
+        let requests = Arc::new(Mutex::new(Vec::new()));
+        let (shared, script) = (Arc::clone(&requests), Arc::new(script));
+        let (close_sender, closed_connections) = mpsc::channel();
         thread::spawn(move || {
             for (number, stream) in listener.incoming().flatten().enumerate() {
-                let (seen, script, close) = (Arc::clone(&shared), Arc::clone(&script), close.clone());
+                let (requests, script, close_sender) =
+                    (Arc::clone(&shared), Arc::clone(&script), close_sender.clone());
                 thread::spawn(move || {
-                    if serve(stream, number, &seen, &*script) {
-                        let _ = close.send(number);
+                    if serve(stream, number, &requests, &*script) {
+                        let _ = close_sender.send(number);
                     }
                 });
             }
         });
-        Self { address, seen, closed }
+        Self { address, requests, closed_connections }
     }
 
-    pub(super) fn seen(&self) -> Vec<Seen> {
-        self.seen.lock().expect("no panic").clone()
+    pub(super) fn requests(&self) -> Vec<ReceivedRequest> {
+        self.requests.lock().expect("no panic").clone()
     }
 
     /// The next connection that a client closes.
-    pub(super) fn closed(&self) -> usize {
-        self.closed.recv_timeout(super::LONG).expect("the client closes")
+    pub(super) fn next_closed_connection(&self) -> usize {
+        self.closed_connections.recv_timeout(super::TEST_TIMEOUT).expect("the client closes")
     }
 }
 
@@ -88,20 +89,20 @@
 fn serve(
     stream: TcpStream,
     connection: usize,
-    seen: &Mutex<Vec<Seen>>,
-    script: &(dyn Fn(&Seen) -> Reply + Send + Sync),
+    requests: &Mutex<Vec<ReceivedRequest>>,
+    script: &(dyn Fn(&ReceivedRequest) -> Reply + Send + Sync),
 ) -> bool {
     let mut reader = BufReader::new(stream.try_clone().expect("open"));
     let mut writer = stream;
     let mut number = 0;
-    while let Some(request) = read(&mut reader, connection, number) {
+    while let Some(request) = read_request(&mut reader, connection, number) {
         number += 1;
-        seen.lock().expect("no panic").push(request.clone());
+        requests.lock().expect("no panic").push(request.clone());
         match script(&request) {
             Reply::Write(bytes) => {
                 let _ = writer.write_all(bytes.as_bytes());
             }
-            Reply::Later(wait, bytes) => {
+            Reply::WriteAfter(wait, bytes) => {
                 thread::sleep(wait);
                 let _ = writer.write_all(bytes.as_bytes());
             }
@@ -116,7 +117,11 @@
     true
 }
 
-fn read(reader: &mut BufReader<TcpStream>, connection: usize, number: usize) -> Option<Seen> {
+fn read_request(
+    reader: &mut BufReader<TcpStream>,
+    connection: usize,
+    number: usize,
+) -> Option<ReceivedRequest> {
     let mut lines = Vec::new();
     loop {
         let mut line = String::new();
@@ -139,5 +144,5 @@
     let mut body = vec![0; length];
     reader.read_exact(&mut body).ok()?;
     let line = lines[0].trim_end_matches(" HTTP/1.1").to_owned();
-    Some(Seen { connection, number, line, headers, at: Instant::now() })
+    Some(ReceivedRequest { connection, number, line, headers, received_at: Instant::now() })
 }
--- a/scale/src/control/replica.rs
+++ b/scale/src/control/replica.rs
@@ -35,7 +35,7 @@
         ControlUsage {
             bytes: self.bytes.load(Ordering::Relaxed),
             calls: self.calls.load(Ordering::Relaxed),
-            turned_away: self.turned_away.load(Ordering::Relaxed),
+            rejected_calls: self.turned_away.load(Ordering::Relaxed),
         }
     }
 }
--- a/scale/src/control/watch.rs
+++ b/scale/src/control/watch.rs
@@ -73,6 +73,6 @@
     });
     let mut measured = desk.record.measured();
     for made_at in made {
-        measured.told_us.add(now.saturating_duration_since(made_at));
+        measured.list_delivery_us.add(now.saturating_duration_since(made_at));
     }
 }
--- a/scale/src/hollow/arrivals.rs
+++ b/scale/src/hollow/arrivals.rs
@@ -6,7 +6,7 @@
 use rand_chacha::ChaCha8Rng;
 
 use super::calls::CallClass;
-use crate::process::settings::TENANTS;
+use crate::process::settings::TENANT_COUNT;
 use crate::scenario::{Depth, Load};
 
 /// Part of its deadline after which a client that leaves has left, at the latest.
@@ -82,7 +82,7 @@
         let copy = self.random.random_range(0..self.copies);
         let hops = self.draw_hops();
         let class = if self.chance() < self.load.unsafe_share { CallClass::Order } else { CallClass::Read };
-        let tenant = self.random.random_range(0..TENANTS);
+        let tenant = self.random.random_range(0..TENANT_COUNT);
         let leaves_after = self.draw_leaving();
         Some(Arrival { at, copy, hops, class, tenant, leaves_after })
     }
--- a/scale/src/hollow/host/attempts.rs
+++ b/scale/src/hollow/host/attempts.rs
@@ -77,7 +77,7 @@
     /// A node that holds as many connections as it can answers on one more that it can't run the request.
     fn turned_away(&mut self, copy: usize, id: AttemptId, node: usize) {
         if let Some(held) = self.requests.get(&id.request) {
-            self.record.attempt(Carrier::Hollow, held.work.hop);
+            self.record.count_attempt(Carrier::Hollow, held.work.hop);
         }
         let load = self.load_report(copy, node);
         self.end_attempt(id, Outcome::Refused, load);
@@ -94,7 +94,7 @@
         if self.is_unreachable(copy, node) {
             return;
         }
-        self.record.attempt(Carrier::Hollow, work.hop);
+        self.record.count_attempt(Carrier::Hollow, work.hop);
         match self.nodes[node].model.arrive(self.now) {
             Admission::Runs { until, fate } => {
                 let run = Run { node, attempt: id, copy, work, deadline, fate, downstream: None };
--- a/scale/src/hollow/host/clients.rs
+++ b/scale/src/hollow/host/clients.rs
@@ -120,7 +120,7 @@
         if let Some(request) = self.calls.get(&id).and_then(|call| call.request) {
             self.caller_left(request);
         }
-        self.end_call(id, CallEnd::Left);
+        self.end_call(id, CallEnd::ClientLeft);
     }
 
     /// A client gets no answer, as the machine of its balancer is gone.
@@ -145,12 +145,12 @@
     pub(super) fn end_call(&mut self, id: CallId, end: CallEnd) {
         let Some(call) = self.calls.remove(&id) else { return };
         self.progress.call_ended();
-        self.record.call(Call {
+        self.record.add_call(Call {
             carrier: Carrier::Hollow,
             hops: call.work.hops,
             end,
-            took: self.now.saturating_sub(call.arrived),
-            at: self.zero + self.now,
+            latency: self.now.saturating_sub(call.arrived),
+            ended_at: self.zero + self.now,
         });
     }
 }
--- a/scale/src/hollow/host/lists.rs
+++ b/scale/src/hollow/host/lists.rs
@@ -111,8 +111,8 @@
         let made = (before + 1..=version).filter_map(|version| self.control.made_at(service, version));
         let mut measured = self.record.measured();
         for made_at in made.filter(|&made_at| made_at >= load_starts) {
-            measured.told_us.add(told.saturating_duration_since(made_at));
-            measured.in_force_us.add(in_force.saturating_duration_since(made_at));
+            measured.list_delivery_us.add(told.saturating_duration_since(made_at));
+            measured.list_in_force_us.add(in_force.saturating_duration_since(made_at));
         }
     }
 
--- a/scale/src/hollow/host/requests.rs
+++ b/scale/src/hollow/host/requests.rs
@@ -20,7 +20,7 @@
         work: Work,
         time: Duration,
     ) -> Option<RequestId> {
-        self.record.hop_call(Carrier::Hollow, work.hop);
+        self.record.count_hop_call(Carrier::Hollow, work.hop);
         let class = self.copies[copy].class(work.class)?;
         let tenant = self.copies[copy].tenant(work.tenant);
         let id = RequestId(self.number());
--- a/scale/src/hollow/host/settings.rs
+++ b/scale/src/hollow/host/settings.rs
@@ -34,7 +34,7 @@
         match self.change_settings(copy, text) {
             Ok(in_force) => {
                 let took = in_force.saturating_duration_since(handed_over);
-                self.record.measured().settings_us.add(took);
+                self.record.measured().settings_in_force_us.add(took);
                 if let Some(settings) = without_list(text) {
                     self.replaced.insert(copy, settings);
                 }
--- a/scale/src/hollow/tests.rs
+++ b/scale/src/hollow/tests.rs
@@ -101,7 +101,7 @@
     /// Changes that copies were told and that came into force.
     fn told(&self) -> (u64, u64) {
         let measured = self.record.measured();
-        (measured.told_us.count(), measured.in_force_us.count())
+        (measured.list_delivery_us.count(), measured.list_in_force_us.count())
     }
 
     /// Waits for the last call and checks what holds in every run; returns how many were served.
@@ -113,11 +113,11 @@
         let measured = self.record.measured();
         let count = |end| measured.calls.iter().filter(|call| call.end == end).count();
         let [served, refused, failed, left] =
-            [CallEnd::Served, CallEnd::Refused, CallEnd::Failed, CallEnd::Left].map(count);
+            [CallEnd::Served, CallEnd::Refused, CallEnd::Failed, CallEnd::ClientLeft].map(count);
         assert_eq!(served + refused + failed + left, drawn);
         assert_eq!((count(CallEnd::Lost), measured.duplicated), (0, 0));
         // A client waits for a second; the balancer's last word comes 2 ms later.
-        let late = measured.calls.iter().filter(|call| call.took > Duration::from_millis(1002)).count();
+        let late = measured.calls.iter().filter(|call| call.latency > Duration::from_millis(1002)).count();
         assert_eq!(late, 0);
         served
     }
@@ -148,11 +148,11 @@
     let served = test.finish().await;
     assert!(served > arrivals.len() * 8 / 10, "{served} of {} served", arrivals.len());
     let measured = record.measured();
-    let place = crate::record::place(Carrier::Hollow);
+    let hollow = crate::record::carrier_index(Carrier::Hollow);
     let deep = arrivals.iter().filter(|arrival| arrival.hops == 4).count() as u64;
-    assert!(measured.hop_calls[place][&1] >= arrivals.len() as u64);
-    assert_eq!(measured.hop_calls[place].keys().copied().max(), Some(4));
-    assert!(measured.attempts[place][&4] > deep / 2);
+    assert!(measured.hop_calls[hollow][&1] >= arrivals.len() as u64);
+    assert_eq!(measured.hop_calls[hollow].keys().copied().max(), Some(4));
+    assert!(measured.attempts[hollow][&4] > deep / 2);
     let served_deep = measured.calls.iter().filter(|call| call.hops == 4 && call.end == CallEnd::Served);
     assert!(served_deep.count() as u64 > deep / 2);
 }
@@ -190,7 +190,7 @@
     let (record, drawn) = (Arc::clone(&test.record), test.arrivals().len());
     let served = test.finish().await;
     assert!(served < drawn, "no call met a silent connection");
-    let longest = record.measured().calls.iter().map(|call| call.took).max();
+    let longest = record.measured().calls.iter().map(|call| call.latency).max();
     assert!(longest < Some(Duration::from_millis(900)), "a call took {longest:?}");
 }
 
@@ -269,7 +269,7 @@
     let record = Arc::clone(&test.record);
     test.finish().await;
     let measured = record.measured();
-    assert_eq!((measured.settings_us.count(), measured.settings_missed), (3, 1));
+    assert_eq!((measured.settings_in_force_us.count(), measured.settings_missed), (3, 1));
 }
 
 /// Guards the settings that a copy starts anew with: those that it was given last, without the old list.
--- a/scale/src/node/handler.rs
+++ b/scale/src/node/handler.rs
@@ -38,7 +38,7 @@
         Err(RequestError::NoId) => plain(StatusCode::NOT_FOUND),
         Err(RequestError::Malformed) => plain(StatusCode::BAD_REQUEST),
         Ok(request) => {
-            node.shared.record.attempt(Carrier::Real, request.hop);
+            node.shared.record.count_attempt(Carrier::Real, request.hop);
             not_silent(connection).await;
             run(node, connection, &request, arrived).await
         }
@@ -123,7 +123,7 @@
         left,
     };
     if left != Some(Duration::ZERO) {
-        node.shared.record.hop_call(Carrier::Real, call.hop);
+        node.shared.record.count_hop_call(Carrier::Real, call.hop);
     }
     match node.onward.call(&call, &node.shared.ids).await {
         Ok(()) => reported(node, StatusCode::OK, SERVED),
--- a/scale/src/process/balancer.rs
+++ b/scale/src/process/balancer.rs
@@ -17,9 +17,9 @@
 use super::{health, log};
 
 /// A process accepts connections so long after its start at the latest.
-const LISTENS_WITHIN: Duration = Duration::from_secs(10);
+const LISTEN_TIMEOUT: Duration = Duration::from_secs(10);
 /// Wait between two looks at a process that is starting.
-const LOOK: Duration = Duration::from_millis(10);
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
 /// A process of the balancer program. It is killed and reaped when dropped.
 #[derive(Debug)]
 pub struct BalancerProcess {
@@ -32,8 +32,8 @@
 struct Launch {
     name: String,
     program: PathBuf,
-    configuration: PathBuf,
-    log: PathBuf,
+    configuration_file: PathBuf,
+    log_file: PathBuf,
     /// Held while the process is down, so that it can come back.
     port: ReservedPort,
 }
@@ -52,7 +52,7 @@
         configuration: &str,
         listen: SocketAddr,
     ) -> Result<Self, ProcessError> {
-        let port = ReservedPort::at(listen).map_err(|cause| no_port(name, listen, cause))?;
+        let port = ReservedPort::at(listen).map_err(|cause| port_error(name, listen, cause))?;
         Self::start_on(port, program, directory, name, configuration).await
     }
 
@@ -60,7 +60,7 @@
     ///
     /// # Errors
     /// As in [`Self::start`], or no port is free.
-    pub async fn start_anywhere(
+    pub async fn start_on_any_port(
         program: &Path,
         directory: &Path,
         name: &str,
@@ -79,19 +79,19 @@
         name: &str,
         configuration: &str,
     ) -> Result<Self, ProcessError> {
-        let folder = directory.join(name);
+        let directory = directory.join(name);
         let launch = Launch {
             name: name.to_owned(),
             program: program.to_owned(),
-            configuration: folder.join("config.json"),
-            log: folder.join("stderr.log"),
+            configuration_file: directory.join("config.json"),
+            log_file: directory.join("stderr.log"),
             port,
         };
-        fs::create_dir_all(&folder).map_err(|cause| launch.file_error(&folder, cause))?;
-        launch.write(configuration)?;
+        fs::create_dir_all(&directory).map_err(|cause| launch.file_error(&directory, cause))?;
+        launch.write_configuration(configuration)?;
         let child = launch.spawn()?;
         let process = Self { launch, child: Mutex::new(child) };
-        process.listens().await?;
+        process.wait_until_listening().await?;
         Ok(process)
     }
 
@@ -99,16 +99,16 @@
     ///
     /// # Errors
     /// The process ends, or is not ready `within` this time.
-    pub async fn ready(&self, within: Duration) -> Result<(), ProcessError> {
+    pub async fn wait_until_ready(&self, within: Duration) -> Result<(), ProcessError> {
         let start = Instant::now();
         while !health::is_ready(self.launch.port.address()).await {
-            self.still_runs()?;
+            self.ensure_running()?;
             if start.elapsed() >= within {
-                return Err(self.late("ready", within));
+                return Err(self.timeout_error("ready", within));
             }
-            sleep(LOOK).await;
+            sleep(POLL_INTERVAL).await;
         }
-        self.still_runs()
+        self.ensure_running()
     }
 
     /// Where it listens.
@@ -134,31 +134,31 @@
     /// # Errors
     /// The file cannot be written, or the process has ended.
     pub fn replace_configuration(&self, text: &str) -> Result<(), ProcessError> {
-        self.launch.write(text)?;
+        self.launch.write_configuration(text)?;
         // Held while it is signalled: until it is reaped its id belongs to no other process.
         let mut child = self.child();
-        self.launch.check(&mut child)?;
-        let process = i32::try_from(child.id()).ok().and_then(Pid::from_raw);
-        let process = process.ok_or_else(|| self.launch.control_error(io::ErrorKind::NotFound.into()))?;
-        kill_process(process, Signal::HUP).map_err(|cause| self.launch.control_error(cause.into()))
+        self.launch.ensure_running(&mut child)?;
+        let pid = i32::try_from(child.id()).ok().and_then(Pid::from_raw);
+        let pid = pid.ok_or_else(|| self.launch.process_control_error(io::ErrorKind::NotFound.into()))?;
+        kill_process(pid, Signal::HUP).map_err(|cause| self.launch.process_control_error(cause.into()))
     }
 
     /// How it ended, if it has.
-    pub fn exited(&mut self) -> Option<ExitStatus> {
+    pub fn exit_status(&mut self) -> Option<ExitStatus> {
         self.child().try_wait().ok().flatten()
     }
 
     /// The last lines of its log.
     #[must_use]
     pub fn last_lines(&self) -> String {
-        log::last_lines(&self.launch.log)
+        log::last_lines(&self.launch.log_file)
     }
 
     /// Kills the process and reaps it; does nothing to one that has ended.
-    pub async fn end(&mut self) {
+    pub async fn kill(&mut self) {
         let _ = self.child().kill();
         while matches!(self.child().try_wait(), Ok(None)) {
-            sleep(LOOK).await;
+            sleep(POLL_INTERVAL).await;
         }
     }
 
@@ -167,35 +167,35 @@
     /// # Errors
     /// As in [`Self::start`].
     pub async fn kill_and_restart(&mut self) -> Result<(), ProcessError> {
-        self.end().await;
+        self.kill().await;
         *self.child() = self.launch.spawn()?;
-        self.listens().await
+        self.wait_until_listening().await
     }
 
     /// Waits until it accepts connections.
-    async fn listens(&self) -> Result<(), ProcessError> {
+    async fn wait_until_listening(&self) -> Result<(), ProcessError> {
         let start = Instant::now();
         while TcpStream::connect(self.launch.port.address()).await.is_err() {
-            self.still_runs()?;
-            if start.elapsed() >= LISTENS_WITHIN {
-                return Err(self.late("listening", LISTENS_WITHIN));
+            self.ensure_running()?;
+            if start.elapsed() >= LISTEN_TIMEOUT {
+                return Err(self.timeout_error("listening", LISTEN_TIMEOUT));
             }
-            sleep(LOOK).await;
+            sleep(POLL_INTERVAL).await;
         }
         // Something else may listen there that was told the same address, and this one ends for it.
-        self.still_runs()
+        self.ensure_running()
     }
 
-    fn still_runs(&self) -> Result<(), ProcessError> {
-        self.launch.check(&mut self.child())
+    fn ensure_running(&self) -> Result<(), ProcessError> {
+        self.launch.ensure_running(&mut self.child())
     }
 
     fn child(&self) -> MutexGuard<'_, Child> {
         self.child.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn late(&self, state: &'static str, within: Duration) -> ProcessError {
-        ProcessError::Late { name: self.launch.name.clone(), state, within, log: self.last_lines() }
+    fn timeout_error(&self, state: &'static str, within: Duration) -> ProcessError {
+        ProcessError::TimedOut { name: self.launch.name.clone(), state, within, log: self.last_lines() }
     }
 }
 
@@ -209,16 +209,17 @@
 
 impl Launch {
     /// Replaces the configuration file at once, so that nobody reads half of it.
-    fn write(&self, text: &str) -> Result<(), ProcessError> {
-        let next = self.configuration.with_extension("next");
-        let written = fs::write(&next, text).and_then(|()| fs::rename(&next, &self.configuration));
-        written.map_err(|cause| self.file_error(&self.configuration, cause))
+    fn write_configuration(&self, text: &str) -> Result<(), ProcessError> {
+        let temporary = self.configuration_file.with_extension("next");
+        let written =
+            fs::write(&temporary, text).and_then(|()| fs::rename(&temporary, &self.configuration_file));
+        written.map_err(|cause| self.file_error(&self.configuration_file, cause))
     }
 
     fn spawn(&self) -> Result<Child, ProcessError> {
         Command::new(&self.program)
             .env_clear()
-            .env("PROXY_CONFIG", &self.configuration)
+            .env("PROXY_CONFIG", &self.configuration_file)
             .env("PROXY_LISTEN", self.port.address().to_string())
             .stdin(Stdio::null())
             .stdout(Stdio::null())
@@ -228,18 +229,20 @@
     }
 
     fn open_log(&self) -> Result<File, ProcessError> {
-        let log = OpenOptions::new().create(true).append(true).open(&self.log);
-        log.map_err(|cause| self.file_error(&self.log, cause))
+        let log = OpenOptions::new().create(true).append(true).open(&self.log_file);
+        log.map_err(|cause| self.file_error(&self.log_file, cause))
     }
 
     /// An error if the process has ended.
-    fn check(&self, child: &mut Child) -> Result<(), ProcessError> {
+    fn ensure_running(&self, child: &mut Child) -> Result<(), ProcessError> {
         match child.try_wait() {
             Ok(None) => Ok(()),
-            Ok(Some(status)) => {
-                Err(ProcessError::Exited { name: self.name.clone(), status, log: log::last_lines(&self.log) })
-            }
-            Err(cause) => Err(self.control_error(cause)),
+            Ok(Some(status)) => Err(ProcessError::Exited {
+                name: self.name.clone(),
+                status,
+                log: log::last_lines(&self.log_file),
+            }),
+            Err(cause) => Err(self.process_control_error(cause)),
         }
     }
 
@@ -254,12 +257,12 @@
         ProcessError::File { name: self.name.clone(), path: path.to_owned(), cause }
     }
 
-    fn control_error(&self, cause: io::Error) -> ProcessError {
-        ProcessError::Control { name: self.name.clone(), cause }
+    fn process_control_error(&self, cause: io::Error) -> ProcessError {
+        ProcessError::ProcessControl { name: self.name.clone(), cause }
     }
 }
 
-fn no_port(name: &str, address: SocketAddr, cause: io::Error) -> ProcessError {
+fn port_error(name: &str, address: SocketAddr, cause: io::Error) -> ProcessError {
     let name = name.to_owned();
     match cause.kind() {
         io::ErrorKind::AddrInUse => ProcessError::PortTaken { name, address },
--- a/scale/src/process/balancer/tests.rs
+++ b/scale/src/process/balancer/tests.rs
@@ -13,20 +13,20 @@
 use tempfile::TempDir;
 
 use super::{BalancerProcess, ProcessError};
-use crate::process::settings::tests::known;
-use crate::process::{configuration, find_program};
+use crate::process::settings::tests::one_node_list;
+use crate::process::{configuration, find_balancer_program};
 use crate::scenario::{Scenario, SettingsChange};
 use crate::topology::{CopyId, Topology};
 
 /// Longer than anything takes that works.
-const LONG: Duration = Duration::from_secs(30);
+const TEST_TIMEOUT: Duration = Duration::from_secs(30);
 const SCENARIO: &str = "name = 'test'\nduration_s = 1.0\n[fleet]\nservices = 0\nhollow = 0\nreal = 1\n\
                         [load]\nreal_calls_per_s = 1.0\n";
 
 /// The program; one that `cargo test` of this package alone has not built is built first.
 fn program() -> PathBuf {
     static PROGRAM: OnceLock<PathBuf> = OnceLock::new();
-    PROGRAM.get_or_init(|| find_program().unwrap_or_else(|_| build())).clone()
+    PROGRAM.get_or_init(|| find_balancer_program().unwrap_or_else(|_| build())).clone()
 }
 
 fn build() -> PathBuf {
@@ -38,7 +38,7 @@
         .current_dir(env!("CARGO_MANIFEST_DIR"))
         .status();
     assert!(built.expect("cargo runs").success());
-    find_program().expect("it was built")
+    find_balancer_program().expect("it was built")
 }
 
 /// A control that accepts watches and says nothing.
@@ -47,55 +47,56 @@
 }
 
 /// The configuration of the only copy, with a list of one node.
-fn text(control: &TcpListener, listen: SocketAddr, change: Option<SettingsChange>) -> String {
+fn configuration_text(control: &TcpListener, listen: SocketAddr, change: Option<SettingsChange>) -> String {
     let scenario: Scenario = toml::from_str(SCENARIO).expect("a sound scenario");
     let topology = Topology::of(&scenario.fleet);
     let control = control.local_addr().expect("bound");
-    configuration(&scenario, &topology, CopyId(0), listen, control, &known(), change)
+    configuration(&scenario, &topology, CopyId(0), listen, control, &one_node_list(), change)
 }
 
 async fn started(directory: &TempDir, control: &TcpListener) -> BalancerProcess {
-    let configuration = |listen| text(control, listen, None);
+    let configuration = |listen| configuration_text(control, listen, None);
     let process =
-        BalancerProcess::start_anywhere(&program(), directory.path(), "real-0", configuration).await;
+        BalancerProcess::start_on_any_port(&program(), directory.path(), "real-0", configuration).await;
     process.expect("starts")
 }
 
 /// Why a program does not start with a configuration.
-async fn refused(program: &Path, configuration: &str) -> ProcessError {
+async fn start_error(program: &Path, configuration: &str) -> ProcessError {
     let directory = TempDir::new().expect("made");
     let configuration = |_| configuration.to_owned();
-    let process = BalancerProcess::start_anywhere(program, directory.path(), "real-0", configuration).await;
+    let process =
+        BalancerProcess::start_on_any_port(program, directory.path(), "real-0", configuration).await;
     process.expect_err("does not start")
 }
 
-/// Waits until the log holds these words.
-fn wait_logged(directory: &TempDir, words: &str) {
+/// Waits until the log holds these text.
+fn wait_logged(directory: &TempDir, text: &str) {
     let start = Instant::now();
     let log = directory.path().join("real-0/stderr.log");
-    while !fs::read_to_string(&log).expect("there is a log").contains(words) {
-        assert!(start.elapsed() < LONG, "never logged: {words}");
+    while !fs::read_to_string(&log).expect("there is a log").contains(text) {
+        assert!(start.elapsed() < TEST_TIMEOUT, "never logged: {text}");
         thread::sleep(Duration::from_millis(2));
     }
 }
 
 /// Waits until somebody connects.
-fn wait_connected(control: &TcpListener) {
+fn wait_for_connection(control: &TcpListener) {
     let start = Instant::now();
     control.set_nonblocking(true).expect("a socket");
     while control.accept().is_err() {
-        assert!(start.elapsed() < LONG, "nobody connects");
+        assert!(start.elapsed() < TEST_TIMEOUT, "nobody connects");
         thread::sleep(Duration::from_millis(2));
     }
 }
 
 /// Binds as one who does not share addresses.
-fn plain_bind(address: SocketAddr) -> Result<(), ErrorKind> {
+fn bind_without_address_reuse(address: SocketAddr) -> Result<(), ErrorKind> {
     let socket = Socket::new(Domain::IPV4, Type::STREAM, None).expect("a socket");
     socket.bind(&address.into()).map_err(|error| error.kind())
 }
 
-fn runs(process: u32) -> bool {
+fn is_running(process: u32) -> bool {
     Path::new(&format!("/proc/{process}")).exists()
 }
 
@@ -103,11 +104,11 @@
 async fn a_process_comes_up_and_is_reaped_when_dropped() {
     let (directory, control) = (TempDir::new().expect("made"), silent_control());
     let process = started(&directory, &control).await;
-    process.ready(LONG).await.expect("ready");
+    process.wait_until_ready(TEST_TIMEOUT).await.expect("ready");
     let id = process.id();
-    assert!(runs(id));
+    assert!(is_running(id));
     drop(process);
-    assert!(!runs(id));
+    assert!(!is_running(id));
 }
 
 #[tokio::test]
@@ -116,20 +117,24 @@
     let mut process = started(&directory, &control).await;
     let (address, id) = (process.address(), process.id());
     process.kill_and_restart().await.expect("starts again");
-    process.ready(LONG).await.expect("ready");
+    process.wait_until_ready(TEST_TIMEOUT).await.expect("ready");
     assert_eq!(process.address(), address);
     assert_ne!(process.id(), id);
-    assert!(!runs(id));
+    assert!(!is_running(id));
 }
 
 #[tokio::test]
-async fn a_process_that_ended_says_so() {
+async fn an_ended_process_reports_its_exit() {
     let (directory, control) = (TempDir::new().expect("made"), silent_control());
     let mut process = started(&directory, &control).await;
-    assert_eq!(process.exited(), None);
-    process.end().await;
-    assert!(process.exited().is_some());
-    assert_eq!(plain_bind(process.address()), Err(ErrorKind::AddrInUse), "the port is kept for its restart");
+    assert_eq!(process.exit_status(), None);
+    process.kill().await;
+    assert!(process.exit_status().is_some());
+    assert_eq!(
+        bind_without_address_reuse(process.address()),
+        Err(ErrorKind::AddrInUse),
+        "the port is kept for its restart"
+    );
     let refused = process.replace_configuration("{}").expect_err("it has ended");
     assert!(matches!(refused, ProcessError::Exited { .. }), "{refused}");
 }
@@ -138,22 +143,22 @@
 async fn new_settings_reach_the_process() {
     let (directory, control) = (TempDir::new().expect("made"), silent_control());
     let process = started(&directory, &control).await;
-    process.ready(LONG).await.expect("ready");
-    let moved = silent_control();
+    process.wait_until_ready(TEST_TIMEOUT).await.expect("ready");
+    let new_control = silent_control();
     let listen = process.address();
-    process.replace_configuration(&text(&moved, listen, None)).expect("signalled");
-    wait_connected(&moved);
+    process.replace_configuration(&configuration_text(&new_control, listen, None)).expect("signalled");
+    wait_for_connection(&new_control);
     process
-        .replace_configuration(&text(&control, listen, Some(SettingsChange::Malformed)))
+        .replace_configuration(&configuration_text(&control, listen, Some(SettingsChange::Malformed)))
         .expect("signalled");
     wait_logged(&directory, "malformed");
-    process.ready(LONG).await.expect("goes on");
+    process.wait_until_ready(TEST_TIMEOUT).await.expect("goes on");
 }
 
 #[tokio::test]
 async fn a_missing_program_is_named() {
     let missing = Path::new("/nowhere/balancer");
-    let error = refused(missing, "{}").await;
+    let error = start_error(missing, "{}").await;
     assert!(matches!(&error, ProcessError::NoProgram { path } if path == missing), "{error}");
 }
 
@@ -161,7 +166,7 @@
 async fn a_taken_port_is_named() {
     let (directory, holder) = (TempDir::new().expect("made"), silent_control());
     let listen = holder.local_addr().expect("bound");
-    let text = text(&holder, listen, None);
+    let text = configuration_text(&holder, listen, None);
     let started = BalancerProcess::start(&program(), directory.path(), "real-0", &text, listen).await;
     let error = started.expect_err("does not start");
     assert!(matches!(error, ProcessError::PortTaken { address, .. } if address == listen), "{error}");
@@ -169,14 +174,14 @@
 
 #[tokio::test]
 async fn a_process_that_dies_at_once_shows_its_last_lines() {
-    let error = refused(&program(), "{").await;
+    let error = start_error(&program(), "{").await;
     let ProcessError::Exited { name, status, log } = &error else { panic!("{error}") };
     assert_eq!((name.as_str(), status.code()), ("real-0", Some(1)));
     assert!(log.contains("the configuration is malformed"), "{log}");
 }
 
 #[tokio::test]
-async fn the_environment_holds_just_what_a_balancer_is_told() {
+async fn the_environment_holds_only_the_balancer_variables() {
     let (directory, control) = (TempDir::new().expect("made"), silent_control());
     let process = started(&directory, &control).await;
     let environment = fs::read(format!("/proc/{}/environ", process.id())).expect("it runs");
@@ -184,17 +189,17 @@
     let mut variables: Vec<&str> = environment.split_terminator('\0').collect();
     variables.sort_unstable();
     let configuration = directory.path().join("real-0/config.json");
-    let told =
+    let expected =
         [format!("PROXY_CONFIG={}", configuration.display()), format!("PROXY_LISTEN={}", process.address())];
-    assert_eq!(variables, told);
+    assert_eq!(variables, expected);
 }
 
 #[tokio::test]
-async fn one_with_nothing_to_send_to_is_not_ready() {
+async fn a_balancer_without_ready_nodes_is_not_ready() {
     const SHORT: Duration = Duration::from_millis(100);
     let (directory, control) = (TempDir::new().expect("made"), silent_control());
-    let empty = |listen| text(&control, listen, None).replace("\"ready\"", "\"draining\"");
-    let started = BalancerProcess::start_anywhere(&program(), directory.path(), "real-0", empty).await;
-    let error = started.expect("starts").ready(SHORT).await.expect_err("not ready");
-    assert!(matches!(error, ProcessError::Late { within: SHORT, .. }), "{error}");
+    let empty = |listen| configuration_text(&control, listen, None).replace("\"ready\"", "\"draining\"");
+    let started = BalancerProcess::start_on_any_port(&program(), directory.path(), "real-0", empty).await;
+    let error = started.expect("starts").wait_until_ready(SHORT).await.expect_err("not ready");
+    assert!(matches!(error, ProcessError::TimedOut { within: SHORT, .. }), "{error}");
 }
--- a/scale/src/process/error.rs
+++ b/scale/src/process/error.rs
@@ -65,7 +65,7 @@
     },
     /// It runs, and is not where it should be after so long.
     #[error("balancer {name} is not {state} after {within:?}\n{log}")]
-    Late {
+    TimedOut {
         /// The copy.
         name: String,
         /// What was waited for.
@@ -77,7 +77,7 @@
     },
     /// The process cannot be signalled or waited for.
     #[error("balancer {name}: cannot reach its process: {cause}")]
-    Control {
+    ProcessControl {
         /// The copy.
         name: String,
         /// Why.
--- a/scale/src/process/health.rs
+++ b/scale/src/process/health.rs
@@ -13,11 +13,11 @@
 use tokio::time::timeout;
 
 /// A balancer that has not answered for so long is not ready yet.
-const ANSWER_WITHIN: Duration = Duration::from_secs(1);
+const HEALTH_CHECK_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// Whether `GET /_health` answers 200.
 pub(super) async fn is_ready(address: SocketAddr) -> bool {
-    matches!(timeout(ANSWER_WITHIN, status(address)).await, Ok(Some(StatusCode::OK)))
+    matches!(timeout(HEALTH_CHECK_TIMEOUT, status(address)).await, Ok(Some(StatusCode::OK)))
 }
 
 async fn status(address: SocketAddr) -> Option<StatusCode> {
--- a/scale/src/process/log.rs
+++ b/scale/src/process/log.rs
@@ -5,7 +5,7 @@
 use std::path::Path;
 
 /// Lines that an error shows.
-const LINES: usize = 5;
+const SHOWN_LINES: usize = 5;
 /// Bytes at the end of the log in which they are looked for.
 const TAIL_BYTES: u64 = 4096;
 
@@ -14,8 +14,8 @@
     let text = tail(path).unwrap_or_default();
     let text = String::from_utf8_lossy(&text);
     let lines: Vec<&str> = text.lines().collect();
-    let from = lines.len().saturating_sub(LINES);
-    lines[from..].iter().map(|line| format!("    {line}")).collect::<Vec<_>>().join("\n")
+    let first = lines.len().saturating_sub(SHOWN_LINES);
+    lines[first..].iter().map(|line| format!("    {line}")).collect::<Vec<_>>().join("\n")
 }
 
 fn tail(path: &Path) -> std::io::Result<Vec<u8>> {
--- a/scale/src/process/mod.rs
+++ b/scale/src/process/mod.rs
@@ -13,5 +13,5 @@
 pub use error::ProcessError;
 pub use port::ReservedPort;
 pub use procfs::Sampler;
-pub use program::find_program;
+pub use program::find_balancer_program;
 pub use settings::configuration;
--- a/scale/src/process/settings.rs
+++ b/scale/src/process/settings.rs
@@ -15,34 +15,34 @@
 /// Class that [`SettingsChange::AddClass`] adds.
 pub const CLASS_EXTRA: &str = "extra";
 /// Tenants of each run, named by [`tenant_name`].
-pub const TENANTS: u32 = 3;
+pub const TENANT_COUNT: u32 = 3;
 
 /// Kind of machine of each node, as lists name it.
-const KIND: &str = "std";
+const MACHINE_TYPE: &str = "std";
 /// Part of the deadline within which an answer earns its full worth.
-const AIM_PART: f64 = 0.5;
+const LATENCY_TARGET_FRACTION: f64 = 0.5;
 /// Requests a second within each tenant's share: more than any run makes.
-const QUOTA_PER_S: f64 = 1e6;
+const TENANT_QUOTA_PER_S: f64 = 1e6;
 /// Attempts per request at most.
-const ATTEMPTS: u32 = 3;
+const MAX_ATTEMPTS: u32 = 3;
 /// Price of a new connection per first attempt.
-const HANDSHAKE_PRICE: f64 = 0.05;
+const HANDSHAKE_COST: f64 = 0.05;
 /// Seconds without a watch after which a copy counts as told.
-const ASK_WITHIN_S: f64 = 10.0;
+const MAX_POLL_INTERVAL_S: f64 = 10.0;
 /// Seconds of idleness after which a connection closes.
-const KEEPALIVE_S: f64 = 15.0;
+const KEEPALIVE_TIMEOUT_S: f64 = 15.0;
 /// Seconds that a connection may take to come up.
-const CONNECT_S: f64 = 0.25;
+const CONNECT_TIMEOUT_S: f64 = 0.25;
 /// Longest advice to stay away that clients follow, in seconds.
-pub const RETRY_AFTER_MOST_S: f64 = 1.5;
+pub const MAX_RETRY_AFTER_S: f64 = 1.5;
 /// Seconds after the deadline in which a final answer still counts.
-const ANSWER_SLACK_S: f64 = 0.02;
+const DEADLINE_GRACE_S: f64 = 0.02;
 /// Seconds in which sends to a draining node have to end.
 const DRAIN_GRACE_S: f64 = 1.0;
 /// Values of a load report on an answer, by their names in the settings.
-const LOAD_FIELDS: [&str; 4] = ["active", "waiting", "cpu", "avg_ms"];
+const LOAD_REPORT_FIELDS: [&str; 4] = ["active", "waiting", "cpu", "avg_ms"];
 
-/// The name of a tenant; `number` is below [`TENANTS`].
+/// The name of a tenant; `number` is below [`TENANT_COUNT`].
 #[must_use]
 pub fn tenant_name(number: u32) -> String {
     format!("tenant-{number}")
@@ -56,38 +56,38 @@
 pub fn configuration(
     scenario: &Scenario,
     topology: &Topology,
-    copy: CopyId,
+    balancer: CopyId,
     listen: SocketAddr,
     control: SocketAddr,
-    known: &Update,
+    initial_list: &Update,
     change: Option<SettingsChange>,
 ) -> String {
-    let file = File {
-        name: &topology.copies[copy.0].name,
+    let file = ConfigurationFile {
+        name: &topology.copies[balancer.0].name,
         listen,
         discovery: control,
-        seed: seed(scenario.seed, copy),
+        seed: balancer_seed(scenario.seed, balancer),
         limits: Limits { cores: 1.0, memory_mb: scenario.fleet.memory_mb, sockets: scenario.fleet.sockets },
-        known,
-        settings: Settings::of(scenario, topology, copy, change),
+        initial_list,
+        settings: Settings::of(scenario, topology, balancer, change),
     };
     let mut text = serde_json::to_string(&file).expect("a structure of plain fields always serializes");
     if change == Some(SettingsChange::Malformed) {
-        cut_short(&mut text);
+        truncate_to_half(&mut text);
     }
     text
 }
 
 /// A seed of its own for each copy of a run, in hexadecimal digits.
-fn seed(run: u64, copy: CopyId) -> String {
+fn balancer_seed(run_seed: u64, balancer: CopyId) -> String {
     /// Odd, so that different copies of one run have different seeds.
-    const SPREAD: u64 = 0x9e37_79b9_7f4a_7c15;
-    let number = copy.0 as u64 + 1;
-    format!("{:016x}", run ^ number.wrapping_mul(SPREAD))
+    const SEED_MULTIPLIER: u64 = 0x9e37_79b9_7f4a_7c15;
+    let number = balancer.0 as u64 + 1;
+    format!("{:016x}", run_seed ^ number.wrapping_mul(SEED_MULTIPLIER))
 }
 
 /// Drops the second half: the braces that it closes stay open.
-fn cut_short(text: &mut String) {
+fn truncate_to_half(text: &mut String) {
     let mut end = text.len() / 2;
     while !text.is_char_boundary(end) {
         end -= 1;
@@ -96,13 +96,14 @@
 }
 
 #[derive(Serialize)]
-struct File<'a> {
+struct ConfigurationFile<'a> {
     name: &'a str,
     listen: SocketAddr,
     discovery: SocketAddr,
     seed: String,
     limits: Limits,
-    known: &'a Update,
+    #[serde(rename = "known")]
+    initial_list: &'a Update,
     settings: Settings,
 }
 
@@ -116,47 +117,54 @@
 #[derive(Serialize)]
 #[serde(rename_all = "camelCase")]
 struct Settings {
-    balancers: u32,
-    me: u32,
+    #[serde(rename = "balancers")]
+    replica_count: u32,
+    #[serde(rename = "me")]
+    replica_index: u32,
     tier: u32,
     zone: String,
     zones: Vec<String>,
-    kinds: [&'static str; 1],
-    lanes: Vec<Class>,
-    projects: Vec<Tenant>,
-    over_share_worth: f64,
+    #[serde(rename = "kinds")]
+    machine_types: [&'static str; 1],
+    #[serde(rename = "lanes")]
+    classes: Vec<Class>,
+    #[serde(rename = "projects")]
+    tenants: Vec<Tenant>,
+    #[serde(rename = "overShareWorth")]
+    over_quota_value: f64,
     discovery: &'static str,
     family_info: FamilyInfo,
     caps: Caps,
     rules: Rules,
-    prices: Prices,
+    #[serde(rename = "prices")]
+    costs: Costs,
     load_info: LoadInfo,
 }
 
 impl Settings {
     fn of(scenario: &Scenario, topology: &Topology, id: CopyId, change: Option<SettingsChange>) -> Self {
-        let copy = &topology.copies[id.0];
+        let balancer = &topology.copies[id.0];
         Self {
-            balancers: copies(topology, id, change),
-            me: copy.index,
+            replica_count: replica_count(topology, id, change),
+            replica_index: balancer.index,
             tier: 0,
-            zone: topology.zone_name(copy.zone),
+            zone: topology.zone_name(balancer.zone),
             zones: (0..topology.zones).map(|zone| topology.zone_name(ZoneId(zone))).collect(),
-            kinds: [KIND],
-            lanes: classes(scenario.load.deadline_s, change),
-            projects: (0..TENANTS).map(Tenant::of).collect(),
-            over_share_worth: 0.1,
+            machine_types: [MACHINE_TYPE],
+            classes: classes(scenario.load.deadline_s, change),
+            tenants: (0..TENANT_COUNT).map(Tenant::of).collect(),
+            over_quota_value: 0.1,
             discovery: "subscribe",
             family_info: FamilyInfo { passes_deadline: true },
             caps: Caps::ALL,
             rules: Rules::of(scenario),
-            prices: Prices { handshake: HANDSHAKE_PRICE },
+            costs: Costs { handshake: HANDSHAKE_COST },
             load_info: LoadInfo::of(scenario.node.load_reports),
         }
     }
 }
 
-fn copies(topology: &Topology, id: CopyId, change: Option<SettingsChange>) -> u32 {
+fn replica_count(topology: &Topology, id: CopyId, change: Option<SettingsChange>) -> u32 {
     let service = &topology.services[topology.copies[id.0].target.0];
     let count = u32::try_from(service.copies.len()).unwrap_or(u32::MAX);
     if change == Some(SettingsChange::Copies) { count.saturating_mul(2) } else { count }
@@ -166,14 +174,21 @@
 #[serde(rename_all = "camelCase")]
 struct Class {
     name: &'static str,
-    on_time_s: f64,
-    hard_limit_s: f64,
-    effect: &'static str,
+    #[serde(rename = "onTimeS")]
+    latency_target_s: f64,
+    #[serde(rename = "hardLimitS")]
+    deadline_s: f64,
+    #[serde(rename = "effect")]
+    idempotency: &'static str,
 }
 
 fn classes(deadline_s: f64, change: Option<SettingsChange>) -> Vec<Class> {
-    let class =
-        |name, effect| Class { name, on_time_s: deadline_s * AIM_PART, hard_limit_s: deadline_s, effect };
+    let class = |name, idempotency| Class {
+        name,
+        latency_target_s: deadline_s * LATENCY_TARGET_FRACTION,
+        deadline_s,
+        idempotency,
+    };
     let mut classes = vec![class(CLASS_READ, "idempotent"), class(CLASS_ORDER, "at_most_once")];
     if change == Some(SettingsChange::AddClass) {
         classes.push(class(CLASS_EXTRA, "idempotent"));
@@ -190,7 +205,7 @@
 
 impl Tenant {
     fn of(number: u32) -> Self {
-        Self { name: tenant_name(number), quota_per_s: QUOTA_PER_S }
+        Self { name: tenant_name(number), quota_per_s: TENANT_QUOTA_PER_S }
     }
 }
 
@@ -203,61 +218,75 @@
 #[derive(Serialize)]
 #[serde(rename_all = "camelCase")]
 struct Caps {
-    try_limit: u32,
-    second_copies: bool,
-    cancel: bool,
-    may_probe: bool,
-    may_tell: bool,
+    #[serde(rename = "tryLimit")]
+    max_attempts: u32,
+    #[serde(rename = "secondCopies")]
+    hedging: bool,
+    #[serde(rename = "cancel")]
+    cancellation: bool,
+    #[serde(rename = "mayProbe")]
+    probes: bool,
+    #[serde(rename = "mayTell")]
+    peer_messages: bool,
     retry_after: bool,
     max_retry_after_s: f64,
-    keepalive_s: f64,
-    multiplex: u32,
-    dial_timeout_s: f64,
+    #[serde(rename = "keepaliveS")]
+    keepalive_timeout_s: f64,
+    #[serde(rename = "multiplex")]
+    max_concurrent_streams: u32,
+    #[serde(rename = "dialTimeoutS")]
+    connect_timeout_s: f64,
 }
 
 impl Caps {
     const ALL: Self = Self {
-        try_limit: ATTEMPTS,
-        second_copies: false,
-        cancel: true,
-        may_probe: false,
-        may_tell: false,
+        max_attempts: MAX_ATTEMPTS,
+        hedging: false,
+        cancellation: true,
+        probes: false,
+        peer_messages: false,
         retry_after: true,
-        max_retry_after_s: RETRY_AFTER_MOST_S,
-        keepalive_s: KEEPALIVE_S,
-        multiplex: 1,
-        dial_timeout_s: CONNECT_S,
+        max_retry_after_s: MAX_RETRY_AFTER_S,
+        keepalive_timeout_s: KEEPALIVE_TIMEOUT_S,
+        max_concurrent_streams: 1,
+        connect_timeout_s: CONNECT_TIMEOUT_S,
     };
 }
 
 #[derive(Serialize)]
 #[serde(rename_all = "camelCase")]
 struct Rules {
-    answer_slack_s: f64,
+    #[serde(rename = "answerSlackS")]
+    deadline_grace_s: f64,
     drain_grace_s: f64,
-    ask_within_s: f64,
-    cold_share: f64,
-    cold_s: f64,
-    fall_multiple: f64,
-    overload_for_s: f64,
+    #[serde(rename = "askWithinS")]
+    max_poll_interval_s: f64,
+    #[serde(rename = "coldShare")]
+    slow_start_min_fraction: f64,
+    #[serde(rename = "coldS")]
+    slow_start_duration_s: f64,
+    #[serde(rename = "fallMultiple")]
+    overload_factor: f64,
+    #[serde(rename = "overloadForS")]
+    overload_duration_s: f64,
 }
 
 impl Rules {
     fn of(scenario: &Scenario) -> Self {
         Self {
-            answer_slack_s: ANSWER_SLACK_S,
+            deadline_grace_s: DEADLINE_GRACE_S,
             drain_grace_s: DRAIN_GRACE_S,
-            ask_within_s: ASK_WITHIN_S,
-            cold_share: scenario.node.cold_share,
-            cold_s: scenario.node.cold_s,
-            fall_multiple: scenario.node.fall_multiple,
-            overload_for_s: scenario.node.fall_s,
+            max_poll_interval_s: MAX_POLL_INTERVAL_S,
+            slow_start_min_fraction: scenario.node.cold_share,
+            slow_start_duration_s: scenario.node.cold_s,
+            overload_factor: scenario.node.fall_multiple,
+            overload_duration_s: scenario.node.fall_s,
         }
     }
 }
 
 #[derive(Serialize)]
-struct Prices {
+struct Costs {
     handshake: f64,
 }
 
@@ -270,7 +299,7 @@
 impl LoadInfo {
     fn of(reports: bool) -> Self {
         if reports {
-            Self { fields: LOAD_FIELDS.to_vec(), via: "inline" }
+            Self { fields: LOAD_REPORT_FIELDS.to_vec(), via: "inline" }
         } else {
             Self { fields: Vec::new(), via: "off" }
         }
--- a/scale/src/process/settings/tests.rs
+++ b/scale/src/process/settings/tests.rs
@@ -25,15 +25,15 @@
 deadline_s = 3.0
 "#;
 
-fn at(port: u16) -> SocketAddr {
+fn loopback(port: u16) -> SocketAddr {
     (Ipv4Addr::LOCALHOST, port).into()
 }
 
 /// A list of one node.
-pub(in crate::process) fn known() -> Update {
+pub(in crate::process) fn one_node_list() -> Update {
     let endpoint = Endpoint {
         name: "n-00001".to_owned(),
-        address: at(9001).to_string(),
+        address: loopback(9001).to_string(),
         zone: "region-0-zone-0".to_owned(),
         kind: "std".to_owned(),
         group: 0,
@@ -45,9 +45,21 @@
 }
 
 /// What the balancer makes of the text of a copy.
-fn parsed(scenario: &Scenario, copy: CopyId, change: Option<SettingsChange>) -> Result<Config, ConfigError> {
+fn parsed(
+    scenario: &Scenario,
+    balancer: CopyId,
+    change: Option<SettingsChange>,
+) -> Result<Config, ConfigError> {
     let topology = Topology::of(&scenario.fleet);
-    let text = configuration(scenario, &topology, copy, at(8081), at(8500), &known(), change);
+    let text = configuration(
+        scenario,
+        &topology,
+        balancer,
+        loopback(8081),
+        loopback(8500),
+        &one_node_list(),
+        change,
+    );
     Config::parse(&text, |_| None)
 }
 
@@ -56,7 +68,7 @@
 }
 
 /// A hollow copy in the second region, and the last real one.
-fn both_kinds(topology: &Topology) -> [CopyId; 2] {
+fn one_of_each_carrier(topology: &Topology) -> [CopyId; 2] {
     let last = topology.copies.len() - 1;
     assert_eq!(topology.copies[5].carrier, Carrier::Hollow);
     assert_eq!(topology.copies[last].carrier, Carrier::Real);
@@ -64,19 +76,19 @@
 }
 
 #[test]
-fn the_balancer_takes_each_copys_text() {
+fn the_balancer_accepts_the_text_of_each_balancer() {
     let scenario = scenario();
     let topology = Topology::of(&scenario.fleet);
-    for id in both_kinds(&topology) {
-        let copy = &topology.copies[id.0];
+    for id in one_of_each_carrier(&topology) {
+        let balancer = &topology.copies[id.0];
         let config = parsed(&scenario, id, None).expect("a sound configuration");
-        assert_eq!(config.name, copy.name);
-        assert_eq!((config.listen, config.discovery, config.sockets), (at(8081), at(8500), 1024));
+        assert_eq!(config.name, balancer.name);
+        assert_eq!((config.listen, config.discovery, config.sockets), (loopback(8081), loopback(8500), 1024));
         assert_eq!(config.known.expect("a list in hand").endpoints[0].name, "n-00001");
         let settings = config.loaded.settings;
-        assert_eq!(settings.replica_index, copy.index);
-        assert_eq!(settings.replica_count as usize, topology.services[copy.target.0].copies.len());
-        assert_eq!((settings.zone.0, settings.zone_count), (copy.zone.0 as usize, 4));
+        assert_eq!(settings.replica_index, balancer.index);
+        assert_eq!(settings.replica_count as usize, topology.services[balancer.target.0].copies.len());
+        assert_eq!((settings.zone.0, settings.zone_count), (balancer.zone.0 as usize, 4));
         assert_eq!((settings.capabilities.max_concurrent_streams, settings.tenants.len()), (1, 3));
         assert_eq!(settings.rules.slow_start_min_fraction, scenario.node.cold_share);
         assert_eq!(settings.costs.handshake, 0.05);
@@ -84,7 +96,7 @@
 }
 
 #[test]
-fn classes_stand_as_clients_send_them() {
+fn classes_have_the_names_that_clients_send() {
     let config = parsed(&scenario(), CopyId(0), None).expect("a sound configuration");
     let classes = &config.loaded.names.classes;
     let settings = &config.loaded.settings;
@@ -96,16 +108,16 @@
 }
 
 #[test]
-fn each_copy_has_a_seed_of_its_own() {
+fn each_balancer_has_its_own_seed() {
     let seed = |number| parsed(&scenario(), CopyId(number), None).expect("a sound configuration").seed;
     assert_ne!(seed(0), seed(1));
     assert_eq!(seed(1), seed(1));
 }
 
 #[test]
-fn each_change_says_what_it_changes() {
+fn each_settings_change_changes_the_text() {
     let scenario = scenario();
-    for id in both_kinds(&Topology::of(&scenario.fleet)) {
+    for id in one_of_each_carrier(&Topology::of(&scenario.fleet)) {
         let changed = |change| parsed(&scenario, id, Some(change));
         let before = parsed(&scenario, id, None).expect("a sound configuration").loaded;
         let added = changed(SettingsChange::AddClass).expect("a sound configuration").loaded;
--- a/scale/src/record.rs
+++ b/scale/src/record.rs
@@ -9,9 +9,9 @@
 use crate::topology::{Carrier, CopyId};
 
 /// Longest time that the histograms tell apart, in microseconds.
-const LONGEST_US: u64 = 600_000_000;
+const MAX_DURATION_US: u64 = 600_000_000;
 /// Significant figures of the histograms.
-const FIGURES: u8 = 3;
+const SIGNIFICANT_DIGITS: u8 = 3;
 
 /// How a client's call ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -25,7 +25,7 @@
     /// Taken and never answered, half a second after its time was up.
     Lost,
     /// The client closed its connection before the answer.
-    Left,
+    ClientLeft,
 }
 
 /// A first-hop call, its repeats by the client included.
@@ -38,9 +38,9 @@
     /// How it ended.
     pub end: CallEnd,
     /// Time from its drawn arrival to its end.
-    pub took: Duration,
+    pub latency: Duration,
     /// When it ended.
-    pub at: Instant,
+    pub ended_at: Instant,
 }
 
 /// One look at a process, over the time since the look before.
@@ -64,7 +64,7 @@
     /// Calls that it made.
     pub calls: u64,
     /// Calls that were answered with 503.
-    pub turned_away: u64,
+    pub rejected_calls: u64,
 }
 
 /// All that is measured in a run.
@@ -73,17 +73,17 @@
     /// Calls by how they ended.
     pub calls: Vec<Call>,
     /// From the drawn arrival of a call to when the client took it up, in microseconds.
-    pub client_lag_us: Times,
+    pub client_lag_us: DurationHistogram,
     /// Calls that the client never sent because too many were out; they count as failed.
     pub client_unsent: u64,
     /// Requests sent once more because their connection was closed before they were read.
     pub client_resent: u64,
     /// Served calls of one hop through a real balancer, in microseconds.
-    pub one_hop_us: Times,
+    pub one_hop_latency_us: DurationHistogram,
     /// The same calls sent straight to a node, in microseconds.
-    pub direct_us: Times,
+    pub direct_latency_us: DurationHistogram,
     /// Served calls by hops, real part, in microseconds.
-    pub by_hops_us: BTreeMap<u32, Times>,
+    pub latency_by_hops_us: BTreeMap<u32, DurationHistogram>,
     /// Attempts that reached a node, by carrier (real first) and hop.
     pub attempts: [BTreeMap<u32, u64>; 2],
     /// Calls that were made at a hop, by carrier (real first) and hop.
@@ -95,34 +95,34 @@
     /// Changes of lists that were made since the start of the load.
     pub list_changes: u64,
     /// From a list change to its arrival at a copy, in microseconds.
-    pub told_us: Times,
+    pub list_delivery_us: DurationHistogram,
     /// From a list change to when a copy decides by it, in microseconds.
-    pub in_force_us: Times,
+    pub list_in_force_us: DurationHistogram,
     /// From new settings to when a copy decides by them, in microseconds.
-    pub settings_us: Times,
+    pub settings_in_force_us: DurationHistogram,
     /// Copies that never came to decide by new settings.
     pub settings_missed: u64,
     /// Looks at the real balancers.
-    pub processes: Vec<(CopyId, ProcessUsage)>,
+    pub process_samples: Vec<(CopyId, ProcessUsage)>,
     /// Seconds of processor time of the hollow copies' threads.
     pub hollow_core_s: f64,
 }
 
 /// A histogram of times in microseconds.
 #[derive(Debug, Clone)]
-pub struct Times(Histogram<u64>);
+pub struct DurationHistogram(Histogram<u64>);
 
-impl Default for Times {
+impl Default for DurationHistogram {
     fn default() -> Self {
-        let histogram = Histogram::new_with_bounds(1, LONGEST_US, FIGURES);
+        let histogram = Histogram::new_with_bounds(1, MAX_DURATION_US, SIGNIFICANT_DIGITS);
         Self(histogram.expect("the bounds are constants that the histogram takes"))
     }
 }
 
-impl Times {
+impl DurationHistogram {
     /// Adds a time.
-    pub fn add(&mut self, took: Duration) {
-        self.0.saturating_record(u64::try_from(took.as_micros()).unwrap_or(LONGEST_US).max(1));
+    pub fn add(&mut self, duration: Duration) {
+        self.0.saturating_record(u64::try_from(duration.as_micros()).unwrap_or(MAX_DURATION_US).max(1));
     }
 
     /// The time in microseconds that `percent` of those added do not exceed; `None` of nothing.
@@ -149,31 +149,31 @@
     }
 
     /// A client's call has ended.
-    pub fn call(&self, call: Call) {
+    pub fn add_call(&self, call: Call) {
         let mut measured = self.measured();
         if call.end == CallEnd::Served && call.carrier == Carrier::Real {
-            measured.by_hops_us.entry(call.hops).or_default().add(call.took);
+            measured.latency_by_hops_us.entry(call.hops).or_default().add(call.latency);
             if call.hops == 1 {
-                measured.one_hop_us.add(call.took);
+                measured.one_hop_latency_us.add(call.latency);
             }
         }
         measured.calls.push(call);
     }
 
     /// A call was made at this hop, counted from 1.
-    pub fn hop_call(&self, carrier: Carrier, hop: u32) {
-        *self.measured().hop_calls[place(carrier)].entry(hop).or_default() += 1;
+    pub fn count_hop_call(&self, carrier: Carrier, hop: u32) {
+        *self.measured().hop_calls[carrier_index(carrier)].entry(hop).or_default() += 1;
     }
 
     /// An attempt has reached a node at this hop, counted from 1.
-    pub fn attempt(&self, carrier: Carrier, hop: u32) {
-        *self.measured().attempts[place(carrier)].entry(hop).or_default() += 1;
+    pub fn count_attempt(&self, carrier: Carrier, hop: u32) {
+        *self.measured().attempts[carrier_index(carrier)].entry(hop).or_default() += 1;
     }
 }
 
 /// The place of a carrier in the arrays of [`Measured`].
 #[must_use]
-pub fn place(carrier: Carrier) -> usize {
+pub fn carrier_index(carrier: Carrier) -> usize {
     match carrier {
         Carrier::Real => 0,
         Carrier::Hollow => 1,
--- a/scale/src/report.rs
+++ b/scale/src/report.rs
@@ -7,7 +7,7 @@
 
 use self::calls::Calls;
 use crate::hollow::HollowEnd;
-use crate::record::{ControlUsage, Measured, ProcessUsage, Times, place};
+use crate::record::{ControlUsage, DurationHistogram, Measured, ProcessUsage, carrier_index};
 use crate::scenario::Scenario;
 use crate::topology::{Carrier, CopyId};
 
@@ -167,12 +167,12 @@
     pub fn of(run: &Run<'_>, measured: &Measured) -> Self {
         let scenario = run.scenario;
         let calls = Calls::of(run, &measured.calls);
-        let one_hop = Latency::of(&measured.one_hop_us);
-        let direct = Latency::of(&measured.direct_us);
-        let core = by_copy(&measured.processes, |usage| usage.core_percent);
+        let one_hop = Latency::of(&measured.one_hop_latency_us);
+        let direct = Latency::of(&measured.direct_latency_us);
+        let core = by_copy(&measured.process_samples, |usage| usage.core_percent);
         let idle = scenario.load.real_calls_per_s == 0.0 && scenario.load.direct_calls_per_s == 0.0;
         let look = |value: fn(&ProcessUsage) -> f64| {
-            MeanMax::of(measured.processes.iter().map(|(_, usage)| value(usage)))
+            MeanMax::of(measured.process_samples.iter().map(|(_, usage)| value(usage)))
         };
         let hollow_copies = f64::from(scenario.fleet.hollow);
         let hollow_core = 100.0 * run.hollow_core_s / run.played_s / hollow_copies;
@@ -186,8 +186,8 @@
             real: scenario.fleet.real,
             hollow: scenario.fleet.hollow,
             all: calls.all,
-            real_calls: calls.by_carrier[place(Carrier::Real)],
-            hollow_calls: calls.by_carrier[place(Carrier::Hollow)],
+            real_calls: calls.by_carrier[carrier_index(Carrier::Real)],
+            hollow_calls: calls.by_carrier[carrier_index(Carrier::Hollow)],
             duplicated: measured.duplicated,
             cold_falls: measured.cold_falls,
             added_latency_us: AddedLatency::of(one_hop, direct),
@@ -195,7 +195,7 @@
             direct_latency_us: direct,
             client_lag_us: Latency::of(&measured.client_lag_us),
             client_unsent: measured.client_unsent,
-            depth_latency_us: by_depth(&measured.by_hops_us),
+            depth_latency_us: by_depth(&measured.latency_by_hops_us),
             hollow_depth_latency_us: by_depth(&calls.hollow_us),
             attempts_per_call: attempts(measured, Carrier::Real),
             hollow_attempts_per_call: attempts(measured, Carrier::Hollow),
@@ -206,7 +206,7 @@
                     .filter(|rate| rate.is_finite()),
             ),
             control_calls: run.control.iter().map(|usage| usage.calls).sum(),
-            control_turned_away: run.control.iter().map(|usage| usage.turned_away).sum(),
+            control_turned_away: run.control.iter().map(|usage| usage.rejected_calls).sum(),
             control_core_percent: core.filter(|_| idle),
             balancer_core_percent: core,
             hollow_core_percent: hollow_core.is_finite().then_some(hollow_core),
@@ -219,10 +219,10 @@
             tool_memory_mb: run.tool.map(|usage| usage.memory_mb),
             list_changes: measured.list_changes,
             lists_behind: run.lists_behind,
-            told_s: Delay::of(&measured.told_us),
-            in_force_s: Delay::of(&measured.in_force_us),
+            told_s: Delay::of(&measured.list_delivery_us),
+            in_force_s: Delay::of(&measured.list_in_force_us),
             settings_in_force_s: SettingsInForce {
-                delay: Delay::of(&measured.settings_us),
+                delay: Delay::of(&measured.settings_in_force_us),
                 missed: measured.settings_missed,
             },
             recovery_s: run.faults.iter().map(|fault| calls.share.recovery(*fault)).collect(),
@@ -231,15 +231,15 @@
     }
 }
 
-fn by_depth(times: &BTreeMap<u32, Times>) -> BTreeMap<u32, Option<Latency>> {
+fn by_depth(times: &BTreeMap<u32, DurationHistogram>) -> BTreeMap<u32, Option<Latency>> {
     let mut latencies: BTreeMap<u32, Option<Latency>> = DEPTHS.into_iter().map(|hops| (hops, None)).collect();
     latencies.extend(times.iter().map(|(hops, times)| (*hops, Latency::of(times))));
     latencies
 }
 
 fn attempts(measured: &Measured, carrier: Carrier) -> AttemptsPerCall {
-    let calls = &measured.hop_calls[place(carrier)];
-    let attempts = &measured.attempts[place(carrier)];
+    let calls = &measured.hop_calls[carrier_index(carrier)];
+    let attempts = &measured.attempts[carrier_index(carrier)];
     let share = |hop: &u32, calls: u64| attempts.get(hop).map(|attempts| *attempts as f64 / calls as f64);
     let by_hop = calls.iter().filter_map(|(hop, calls)| Some((*hop, share(hop, *calls)?))).collect();
     let of_carrier = || measured.calls.iter().filter(|call| call.carrier == carrier);
--- a/scale/src/report/calls.rs
+++ b/scale/src/report/calls.rs
@@ -7,7 +7,7 @@
 
 use super::Run;
 use super::recovery::ServedShare;
-use crate::record::{Call, CallEnd, Times, place};
+use crate::record::{Call, CallEnd, DurationHistogram, carrier_index};
 use crate::topology::Carrier;
 
 /// Calls by how they ended; `calls` is the sum of the others.
@@ -45,7 +45,7 @@
     /// By carrier, real first.
     pub(super) by_carrier: [Counts; 2],
     /// Served calls through hollow balancers by depth.
-    pub(super) hollow_us: BTreeMap<u32, Times>,
+    pub(super) hollow_us: BTreeMap<u32, DurationHistogram>,
     /// The share served over time.
     pub(super) share: ServedShare,
     /// By second.
@@ -72,21 +72,21 @@
 
     fn add(&mut self, start: Option<Instant>, call: &Call) {
         self.all.add(call.end);
-        self.by_carrier[place(call.carrier)].add(call.end);
+        self.by_carrier[carrier_index(call.carrier)].add(call.end);
         if call.carrier == Carrier::Hollow && call.end == CallEnd::Served {
-            self.hollow_us.entry(call.hops).or_default().add(call.took);
+            self.hollow_us.entry(call.hops).or_default().add(call.latency);
         }
-        let due = call.at.checked_sub(call.took);
+        let due = call.ended_at.checked_sub(call.latency);
         let due_s =
             due.zip(start).map_or(0.0, |(due, start)| due.saturating_duration_since(start).as_secs_f64());
-        if call.end != CallEnd::Left {
+        if call.end != CallEnd::ClientLeft {
             self.share.add(due_s, call.end == CallEnd::Served);
         }
         let series = match call.end {
             CallEnd::Served => &mut self.series.served,
             CallEnd::Refused => &mut self.series.refused,
             CallEnd::Failed | CallEnd::Lost => &mut self.series.failed,
-            CallEnd::Left => return,
+            CallEnd::ClientLeft => return,
         };
         let last = series.len() - 1;
         series[(due_s as usize).min(last)] += 1;
@@ -101,7 +101,7 @@
             CallEnd::Refused => &mut self.refused,
             CallEnd::Failed => &mut self.failed,
             CallEnd::Lost => &mut self.lost,
-            CallEnd::Left => &mut self.left,
+            CallEnd::ClientLeft => &mut self.left,
         } += 1;
     }
 }
--- a/scale/src/report/figures.rs
+++ b/scale/src/report/figures.rs
@@ -3,7 +3,7 @@
 
 use serde::Serialize;
 
-use crate::record::Times;
+use crate::record::DurationHistogram;
 
 /// Microseconds in a second.
 const US_PER_S: f64 = 1e6;
@@ -24,7 +24,7 @@
 impl Latency {
     /// Of all times added; `None` of nothing.
     #[must_use]
-    pub fn of(times: &Times) -> Option<Self> {
+    pub fn of(times: &DurationHistogram) -> Option<Self> {
         let (p50, p99) = (times.percentile(50.0)?, times.percentile(99.0)?);
         Some(Self { p50, p99, p999: times.percentile(99.9)?, count: times.count() })
     }
@@ -72,7 +72,7 @@
 impl Delay {
     /// Of all times added; `None` of nothing.
     #[must_use]
-    pub fn of(times: &Times) -> Option<Self> {
+    pub fn of(times: &DurationHistogram) -> Option<Self> {
         let seconds = |percent| times.percentile(percent).map(|us| us as f64 / US_PER_S);
         Some(Self { p50: seconds(50.0)?, p99: seconds(99.0)?, max: seconds(100.0)?, count: times.count() })
     }
--- a/scale/src/run.rs
+++ b/scale/src/run.rs
@@ -214,7 +214,7 @@
             return;
         }
         self.played_s = Some(self.start.elapsed().as_secs_f64());
-        self.tool_used = self.tool.look();
+        self.tool_used = self.tool.sample();
         self.hollow_core_s = record.measured().hollow_core_s;
         let after = fleet.control_usage();
         self.control_used =
@@ -226,7 +226,7 @@
     ControlUsage {
         bytes: after.bytes - before.bytes,
         calls: after.calls - before.calls,
-        turned_away: after.turned_away - before.turned_away,
+        rejected_calls: after.rejected_calls - before.rejected_calls,
     }
 }
 
@@ -272,7 +272,7 @@
     let direct = fleet.direct_addresses();
     async move {
         if !balancers.is_empty() {
-            client::run_real(&scenario, &topology, balancers, direct, start, record).await;
+            client::run_load(&scenario, &topology, balancers, direct, start, record).await;
         }
     }
 }
--- a/scale/src/run/fleet.rs
+++ b/scale/src/run/fleet.rs
@@ -86,7 +86,7 @@
         let start = Instant::now();
         for balancer in &self.balancers {
             let left = within.saturating_sub(start.elapsed());
-            balancer.process.lock().await.ready(left).await?;
+            balancer.process.lock().await.wait_until_ready(left).await?;
         }
         let of = self.topology.copies.len();
         loop {
@@ -145,7 +145,7 @@
     /// The hollow copies had ended before.
     pub async fn end(self) -> Result<Option<HollowEnd>, RunError> {
         for balancer in self.balancers {
-            balancer.process.lock().await.end().await;
+            balancer.process.lock().await.kill().await;
         }
         let Some(hollow) = self.hollow else { return Ok(None) };
         Ok(Some(spawn_blocking(move || hollow.stop()).await??))
@@ -210,6 +210,6 @@
     let discovery = control.address(copy);
     let text = |listen| configuration(scenario, topology, copy, listen, discovery, &known, None);
     let name = &topology.copies[copy.0].name;
-    let process = BalancerProcess::start_anywhere(program, directory, name, text).await?;
+    let process = BalancerProcess::start_on_any_port(program, directory, name, text).await?;
     Ok(Balancer { copy, address: process.address(), process: Arc::new(Mutex::new(process)) })
 }
--- a/scale/src/run/settings.rs
+++ b/scale/src/run/settings.rs
@@ -87,7 +87,7 @@
         tries += 1;
         let id = number << 32 | tries;
         if let Ok(Ok(true)) = timeout(ANSWER_WITHIN, is_served(address, id)).await {
-            record.measured().settings_us.add(start.elapsed());
+            record.measured().settings_in_force_us.add(start.elapsed());
             return Ok(());
         }
         sleep(ASK_EVERY).await;
--- a/scale/src/run/watch.rs
+++ b/scale/src/run/watch.rs
@@ -51,7 +51,7 @@
     /// Looks at one process, which is passed over while a fault restarts it.
     fn look(&mut self, sample: bool, record: &Record) -> Option<RunError> {
         let mut process = self.balancer.process.try_lock().ok()?;
-        if let Some(status) = process.exited() {
+        if let Some(status) = process.exit_status() {
             let (name, log) = (process.name().to_owned(), process.last_lines());
             return Some(RunError::Ended { name, status, log });
         }
@@ -59,8 +59,8 @@
             self.process = process.id();
             self.sampler = Sampler::new(self.process);
         }
-        if sample && let Some(usage) = self.sampler.look() {
-            record.measured().processes.push((self.balancer.copy, usage));
+        if sample && let Some(usage) = self.sampler.sample() {
+            record.measured().process_samples.push((self.balancer.copy, usage));
         }
         None
     }
--- a/scale/tests/control.rs
+++ b/scale/tests/control.rs
@@ -131,7 +131,7 @@
     assert!(update.snapshot);
     assert_eq!(names(&update), ["a", "b"]);
     let usage = control.usage(HOME);
-    assert_eq!((usage.bytes, usage.calls, usage.turned_away), (bytes as u64, 1, 0));
+    assert_eq!((usage.bytes, usage.calls, usage.rejected_calls), (bytes as u64, 1, 0));
     assert_eq!(control.usage(OTHER).calls, 0);
 }
 
@@ -255,7 +255,7 @@
     // Answered in its turn it would be hours later.
     let refused = timeout(Duration::from_secs(60), call(&control, OTHER, "")).await.unwrap().unwrap();
     assert_eq!(refused.status, 503);
-    assert_eq!((control.usage(OTHER).turned_away, control.usage(HOME).turned_away), (1, 0));
+    assert_eq!((control.usage(OTHER).rejected_calls, control.usage(HOME).rejected_calls), (1, 0));
 }
 
 #[tokio::test]
--- a/scale/tests/quick.rs
+++ b/scale/tests/quick.rs
@@ -2,7 +2,7 @@
 
 use std::path::Path;
 
-use stilelead_scale::process::find_program;
+use stilelead_scale::process::find_balancer_program;
 use stilelead_scale::run::{Options, run};
 use stilelead_scale::scenario::Scenario;
 use stilelead_scale::scenario::load::load;
@@ -26,7 +26,7 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_quick_run_is_whole_and_loses_nothing() {
-    let program = find_program().expect("the balancer is built along with the workspace");
+    let program = find_balancer_program().expect("the balancer is built along with the workspace");
     let options = Options { program, progress: false };
     let report = run(&quick(), &options, std::future::pending()).await;
     assert!(!report.partial, "{:?}", report.partial_reason);
--- a/scale/tests/report.rs
+++ b/scale/tests/report.rs
@@ -41,8 +41,8 @@
 }
 
 fn call(start: Instant, due_ms: u64, carrier: Carrier, hops: u32, end: CallEnd, took_ms: u64) -> Call {
-    let took = Duration::from_millis(took_ms);
-    Call { carrier, hops, end, took, at: start + Duration::from_millis(due_ms) + took }
+    let latency = Duration::from_millis(took_ms);
+    Call { carrier, hops, end, latency, ended_at: start + Duration::from_millis(due_ms) + latency }
 }
 
 fn as_json(report: &Report) -> Value {
@@ -52,13 +52,13 @@
 #[test]
 fn calls_are_counted_by_end_carrier_depth_and_second() {
     let (scenario, start, record) = (scenario(&[]), Instant::now(), Record::default());
-    record.call(call(start, 100, Carrier::Real, 1, CallEnd::Served, 4));
-    record.call(call(start, 900, Carrier::Real, 9, CallEnd::Served, 300));
-    record.call(call(start, 1100, Carrier::Real, 1, CallEnd::Refused, 4));
-    record.call(call(start, 2100, Carrier::Hollow, 5, CallEnd::Served, 50));
-    record.call(call(start, 2200, Carrier::Hollow, 5, CallEnd::Failed, 2000));
-    record.call(call(start, 2300, Carrier::Real, 1, CallEnd::Lost, 2500));
-    record.call(call(start, 9900, Carrier::Hollow, 5, CallEnd::Left, 20));
+    record.add_call(call(start, 100, Carrier::Real, 1, CallEnd::Served, 4));
+    record.add_call(call(start, 900, Carrier::Real, 9, CallEnd::Served, 300));
+    record.add_call(call(start, 1100, Carrier::Real, 1, CallEnd::Refused, 4));
+    record.add_call(call(start, 2100, Carrier::Hollow, 5, CallEnd::Served, 50));
+    record.add_call(call(start, 2200, Carrier::Hollow, 5, CallEnd::Failed, 2000));
+    record.add_call(call(start, 2300, Carrier::Real, 1, CallEnd::Lost, 2500));
+    record.add_call(call(start, 9900, Carrier::Hollow, 5, CallEnd::ClientLeft, 20));
     let report = as_json(&Report::of(&run(&scenario, start), &record.measured()));
     let counts = |calls: u64, served: u64, refused: u64, failed: u64, lost: u64, left: u64| json!({"calls": calls, "served": served, "refused": refused, "failed": failed, "lost": lost, "left": left});
     assert_eq!(report["real_calls"], counts(4, 2, 1, 0, 1, 0));
@@ -79,8 +79,8 @@
 fn what_a_balancer_adds_is_the_difference_of_the_same_percentiles() {
     let (scenario, start, record) = (scenario(&[]), Instant::now(), Record::default());
     for number in 1..=1000 {
-        record.measured().one_hop_us.add(Duration::from_micros(number + 300));
-        record.measured().direct_us.add(Duration::from_micros(number));
+        record.measured().one_hop_latency_us.add(Duration::from_micros(number + 300));
+        record.measured().direct_latency_us.add(Duration::from_micros(number));
     }
     let report = as_json(&Report::of(&run(&scenario, start), &record.measured()));
     assert_eq!(report["added_latency_us"], json!({"p50": 300, "p99": 300, "p999": 300}));
@@ -95,12 +95,12 @@
 fn attempts_are_told_by_hop_and_from_first_to_deepest() {
     let (scenario, start, record) = (scenario(&[]), Instant::now(), Record::default());
     for _ in 0..10 {
-        record.call(call(start, 0, Carrier::Hollow, 2, CallEnd::Served, 1));
-        record.hop_call(Carrier::Hollow, 1);
+        record.add_call(call(start, 0, Carrier::Hollow, 2, CallEnd::Served, 1));
+        record.count_hop_call(Carrier::Hollow, 1);
     }
-    (0..12).for_each(|_| record.hop_call(Carrier::Hollow, 2));
-    (0..12).for_each(|_| record.attempt(Carrier::Hollow, 1));
-    (0..18).for_each(|_| record.attempt(Carrier::Hollow, 2));
+    (0..12).for_each(|_| record.count_hop_call(Carrier::Hollow, 2));
+    (0..12).for_each(|_| record.count_attempt(Carrier::Hollow, 1));
+    (0..18).for_each(|_| record.count_attempt(Carrier::Hollow, 2));
     let report = as_json(&Report::of(&run(&scenario, start), &record.measured()));
     let expected = json!({"by_hop": {"1": 1.2, "2": 1.5}, "deepest_over_first": 1.8});
     assert_eq!(report["hollow_attempts_per_call"], expected);
@@ -116,10 +116,10 @@
     let (start, record) = (Instant::now(), Record::default());
     let looks = [(4, 1.0, 10.0), (4, 3.0, 12.0), (5, 4.0, 8.0), (5, 8.0, 10.0)];
     for (copy, core, memory) in looks {
-        record.measured().processes.push((CopyId(copy), usage(core, memory)));
+        record.measured().process_samples.push((CopyId(copy), usage(core, memory)));
     }
     let idle = scenario(&["load.real_calls_per_s=0"]);
-    let control = [1000, 2000, 6000].map(|bytes| ControlUsage { bytes, calls: 2, turned_away: 1 });
+    let control = [1000, 2000, 6000].map(|bytes| ControlUsage { bytes, calls: 2, rejected_calls: 1 });
     let measure = |scenario: &Scenario| {
         let run = Run { control: control.to_vec(), ..run(scenario, start) };
         as_json(&Report::of(&run, &record.measured()))
@@ -140,8 +140,8 @@
 fn delays_are_told_in_seconds_with_the_copies_that_missed_them() {
     let (scenario, start, record) = (scenario(&[]), Instant::now(), Record::default());
     for ms in [100, 200, 4000] {
-        record.measured().told_us.add(Duration::from_millis(ms));
-        record.measured().settings_us.add(Duration::from_millis(ms));
+        record.measured().list_delivery_us.add(Duration::from_millis(ms));
+        record.measured().settings_in_force_us.add(Duration::from_millis(ms));
     }
     record.measured().settings_missed = 2;
     let report = as_json(&Report::of(&run(&scenario, start), &record.measured()));
@@ -220,7 +220,7 @@
 #[test]
 fn the_table_is_aligned() {
     let (scenario, start, record) = (scenario(&[]), Instant::now(), Record::default());
-    record.call(call(start, 100, Carrier::Real, 1, CallEnd::Served, 4));
+    record.add_call(call(start, 100, Carrier::Real, 1, CallEnd::Served, 4));
     let text = table::of_report(&Report::of(&run(&scenario, start), &record.measured())).to_string();
     let heading = text.lines().find(|line| line.trim_start().starts_with("calls")).expect("a heading");
     let row = text.lines().find(|line| line.starts_with("all calls")).expect("a row");
