--- a/scale/src/client/arrivals.rs
+++ b/scale/src/client/arrivals.rs
@@ -1,4 +1,5 @@
-//! Arrivals of calls, drawn from the seed alone: what happens to a call does not move the next one.
+//! Arrival times and properties of calls. They are drawn from the seed alone, so the outcome of a call does
+//! not affect later arrivals.
 
 use std::time::Duration;
 
@@ -8,22 +9,22 @@
 use crate::process::settings::{CLASS_ORDER, CLASS_READ, TENANT_COUNT};
 use crate::scenario::{Depth, Load, Scenario};
 
-/// Stream of the random numbers of calls through balancers.
+/// Random number stream for calls through balancers.
 const BALANCER_CALLS_RNG_STREAM: u64 = 1;
-/// Stream of those of calls straight to nodes.
+/// Random number stream for calls that go directly to nodes.
 const DIRECT_CALLS_RNG_STREAM: u64 = 2;
 
-/// The class of a call.
+/// The request class of a call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Class {
-    /// Safe to repeat.
+    /// Idempotent: safe to retry.
     Read,
-    /// Must never run twice.
+    /// Not idempotent: must never run twice.
     Order,
 }
 
 impl Class {
-    /// The name in settings and paths.
+    /// Name of the class in settings and request paths.
     #[must_use]
     pub fn name(self) -> &'static str {
         match self {
@@ -33,36 +34,36 @@
     }
 }
 
-/// A call that a client will make.
+/// A scheduled call by a client.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Arrival {
-    /// When, from the start of the load.
+    /// When the call starts, counted from the start of the load.
     pub offset: Duration,
     /// Hops from the client to the last node.
     pub hops: u32,
-    /// Its class.
+    /// Request class.
     pub class: Class,
-    /// Number of its tenant.
+    /// Number of the tenant that makes the call.
     pub tenant: u32,
-    /// Position of the balancer or node that it goes to.
+    /// Index of the balancer or node that the call goes to.
     pub target: usize,
-    /// When the client closes its connection, from the arrival, where it does so before the answer.
+    /// How long after the arrival the client closes its connection, if it does not wait for the answer.
     pub disconnect_after: Option<Duration>,
-    /// Request id of its first try; further tries count on from it.
+    /// Request id of the first attempt; later attempts count up from it.
     pub first_request_id: u64,
 }
 
-/// The arrivals of one kind of calls, in their order: a Poisson process.
+/// The arrivals of one kind of calls in order of time: a Poisson process.
 #[derive(Debug, Clone)]
 pub struct Arrivals {
     rng: ChaCha8Rng,
-    /// Seconds of load.
+    /// Duration of the load in seconds.
     duration_s: f64,
-    /// Calls a second.
+    /// Mean arrival rate.
     calls_per_s: f64,
     depths: Vec<Depth>,
     load: Load,
-    /// Mean work of a request at one hop, in seconds.
+    /// Mean work time of a request at one hop, in seconds.
     mean_hop_work_s: f64,
     target_count: usize,
     next_target: usize,
@@ -71,7 +72,7 @@
 }
 
 impl Arrivals {
-    /// The calls to `balancers` real balancers, in turn.
+    /// Calls to `balancers` real balancers, in round-robin order.
     #[must_use]
     pub fn to_balancers(scenario: &Scenario, balancers: usize) -> Self {
         let load = scenario.load.clone();
@@ -79,7 +80,7 @@
         Self::new(scenario, BALANCER_CALLS_RNG_STREAM, calls_per_s, depths, load, balancers)
     }
 
-    /// The calls straight to `nodes` nodes, in turn: one hop, and no client leaves.
+    /// Calls directly to `nodes` nodes, in round-robin order: one hop each, and no client disconnects early.
     #[must_use]
     pub fn directly_to_nodes(scenario: &Scenario, nodes: usize) -> Self {
         let load = Load { leaving_share: 0.0, ..scenario.load.clone() };
@@ -118,7 +119,7 @@
                 return depth.hops;
             }
         }
-        // The shares add up to 1 but for rounding.
+        // The shares add up to 1 except for rounding errors.
         self.depths.last().map_or(1, |depth| depth.hops)
     }
 
@@ -136,7 +137,8 @@
         if self.target_count == 0 || self.calls_per_s <= 0.0 {
             return None;
         }
-        // Each arrival draws the same count of numbers, so that a share that changes moves no other draw.
+        // Every arrival draws the same number of random values, so changing one share does not shift any
+        // other draw.
         let [gap_draw, depth_draw, class_draw, disconnect_draw, delay_draw]: [f64; 5] = self.rng.random();
         let (tenant, first_request_id) = (self.rng.random_range(0..TENANT_COUNT), self.rng.random());
         self.latest_s -= (1.0 - gap_draw).ln() / self.calls_per_s;
@@ -144,7 +146,7 @@
             return None;
         }
         let hops = self.hops_for_draw(depth_draw);
-        // Within the mean work of all hops, so that most answers are not there yet.
+        // Less than the mean work time over all hops, so that most clients disconnect before the answer.
         let disconnect_s = self.mean_hop_work_s * f64::from(hops) * delay_draw;
         Some(Arrival {
             offset: Duration::from_secs_f64(self.latest_s),
--- a/scale/src/client/caller.rs
+++ b/scale/src/client/caller.rs
@@ -1,4 +1,4 @@
-//! One client's call from its drawn arrival to its end, its repeats included.
+//! One client's call from its scheduled arrival to its end, including retries.
 
 use std::io;
 use std::net::SocketAddr;
@@ -18,20 +18,21 @@
 use crate::scenario::Load;
 use crate::topology::Carrier;
 
-/// Wait before a refused call is repeated where the answer names none.
+/// Delay before a refused call is retried if the answer has no `Retry-After`.
 const DEFAULT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// Where calls go, and so what is recorded of them.
+/// Where calls go, which determines what is recorded about them.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Route {
-    /// To balancers: all is recorded.
+    /// Through balancers: everything is recorded.
     Balancers,
-    /// Straight to nodes: only the times of served calls are recorded.
+    /// Directly to nodes: only the latency of served calls is recorded.
     Nodes,
 }
 
 impl Route {
-    /// Number of the hop that a request arrives at: only those behind a balancer count as one.
+    /// Hop number of the request when it reaches its target: 1 at a balancer, 0 at a node, as only the hops
+    /// behind a balancer are counted.
     fn hop(self) -> u32 {
         match self {
             Self::Balancers => 1,
@@ -43,12 +44,13 @@
 /// Time limits of calls.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Limits {
-    /// How long a client waits for its answer, repeats included.
+    /// How long a client waits for its answer, including retries.
     pub(super) deadline: Duration,
-    /// A request without an answer so long after that is lost.
+    /// A request that is still unanswered this long after the deadline is lost.
     pub(super) grace: Duration,
-    /// A close that arrives so long after the request was written may have crossed it; after that the request was
-    /// read, as a balancer gives one that may be on its way just this time.
+    /// A close within this time after the request was written may have raced with the request, which is then
+    /// sent again. After a later close the request counts as read, because a balancer waits just this long
+    /// for a request that may be on its way before it closes.
     pub(super) close_race_window: Duration,
 }
 
@@ -62,7 +64,7 @@
     }
 }
 
-/// How a try ended.
+/// How one attempt of a call ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum AttemptOutcome {
     Served,
@@ -71,14 +73,15 @@
     Lost,
 }
 
-/// What became of a request on one connection.
+/// What happened to a request on one connection.
 #[derive(Debug)]
 enum SendOutcome {
-    /// The try is over.
+    /// The attempt is over.
     Finished(AttemptOutcome),
-    /// The connection was closed before the request was written: another one may do.
+    /// The connection was closed before the request was written; the request can go on another one.
     NotSent,
-    /// The connection was closed while the request was on its way: it goes out once more on a new one.
+    /// The connection was closed while the request was on its way; the request is sent once more on a new
+    /// one.
     ClosedInFlight,
 }
 
@@ -91,7 +94,7 @@
     pools: Vec<Pool>,
     request_builder: RequestBuilder,
     record: Arc<Record>,
-    /// A fault of the client itself has been logged.
+    /// Whether a failure on the client's side has been logged.
     local_error_logged: AtomicBool,
 }
 
@@ -130,7 +133,7 @@
         self.record_end(&arrival, due, end);
     }
 
-    /// Records a call that could not be made.
+    /// Records a call that was not sent because too many calls were in flight.
     pub(super) fn record_unsent(&self, arrival: &Arrival, due: Instant) {
         self.record.measured().client_unsent += 1;
         self.record_end(arrival, due, CallEnd::Failed);
@@ -163,7 +166,7 @@
                 AttemptOutcome::Lost => return CallEnd::Lost,
                 AttemptOutcome::Refused { retry_after } => retry_delay(retry_after),
             };
-            // A repeat whose time would be up before it began is none.
+            // A retry that could not start before the deadline is not made.
             if attempt_number >= self.max_retries || delay >= self.remaining(due) {
                 return CallEnd::Refused;
             }
@@ -172,12 +175,12 @@
         }
     }
 
-    /// What is left of the client's time.
+    /// Time that is left until the client's deadline.
     fn remaining(&self, due: Instant) -> Duration {
         self.limits.deadline.saturating_sub(due.elapsed())
     }
 
-    /// One request with an id of its own.
+    /// Makes one attempt, which has its own request id.
     async fn attempt(&self, arrival: &Arrival, attempt_number: u32, due: Instant) -> AttemptOutcome {
         if self.route == Route::Balancers {
             self.record.count_hop_call(Carrier::Real, self.route.hop());
@@ -231,12 +234,14 @@
             Err(ExchangeError::Closed(_)) if reused => {
                 SendOutcome::Finished(self.outcome_after_close(pool, due).await)
             }
-            // The first request on a connection that is closed has failed, whatever became of it.
+            // If a connection is closed under its first request, the attempt fails whatever happened to the
+            // request.
             Err(_) => SendOutcome::Finished(AttemptOutcome::Failed),
         }
     }
 
-    /// This connection or else a new one, if one comes up in time.
+    /// Returns the given idle connection, or else opens a new one; `None` if that fails or takes past the
+    /// deadline.
     async fn reuse_or_open(&self, idle: Option<Connection>, pool: &Pool, due: Instant) -> Option<Connection> {
         if idle.is_some() {
             return idle;
@@ -245,18 +250,18 @@
         opened.inspect_err(|error| self.log_local_error(error)).ok()
     }
 
-    /// Logs the first connection that failed for another reason than the other side's: calls then fail for the
-    /// client's own limits.
+    /// Logs the first failed connection that the server did not refuse or reset: such calls fail because of
+    /// the client's own limits (ports, descriptors).
     fn log_local_error(&self, error: &io::Error) {
         let remote_error =
             matches!(error.kind(), io::ErrorKind::ConnectionRefused | io::ErrorKind::ConnectionReset);
         if !remote_error && !self.local_error_logged.swap(true, Ordering::Relaxed) {
-            tracing::warn!(%error, "a client cannot open a connection");
+            tracing::warn!(%error, "the client cannot open a connection");
         }
     }
 
-    /// What a close under a request that had been read means: a balancer that lives has lost it, one that is gone
-    /// has not.
+    /// Outcome of a request that had been read when its connection was closed: if the balancer still accepts
+    /// connections it has lost the request; if the balancer is down the request has failed.
     async fn outcome_after_close(&self, pool: &Pool, due: Instant) -> AttemptOutcome {
         match self.reuse_or_open(None, pool, due).await {
             Some(connection) => {
@@ -279,7 +284,7 @@
     }
 }
 
-/// How long a client waits before it repeats a refused call.
+/// How long a client waits before it retries a refused call.
 fn retry_delay(retry_after: Option<Duration>) -> Duration {
     retry_after.map_or(DEFAULT_RETRY_DELAY, |advised| advised.min(Duration::from_secs_f64(MAX_RETRY_AFTER_S)))
 }
--- a/scale/src/client/connection.rs
+++ b/scale/src/client/connection.rs
@@ -1,4 +1,4 @@
-//! A client's connection: one request at a time, and what becomes of it.
+//! A client's HTTP/1.1 connection, which carries one request at a time.
 
 use std::io;
 use std::net::SocketAddr;
@@ -14,56 +14,56 @@
 use thiserror::Error;
 use tokio::net::TcpStream;
 
-/// The request as it is sent.
+/// A request in the form in which a client sends it.
 pub(super) type ClientRequest = Request<Full<Bytes>>;
 
-/// A connection that is open. Dropping it closes it, also under a request.
+/// An open connection. Dropping it closes it, even while a request is in flight.
 #[derive(Debug)]
 pub(super) struct Connection {
     sender: SendRequest<Full<Bytes>>,
-    /// It has carried a request that was answered.
+    /// Whether an earlier request on this connection was answered.
     has_answered: bool,
 }
 
-/// An answer that came whole.
+/// An answer that was received completely.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Answer {
     pub(super) status: StatusCode,
-    /// How long the client is to stay away.
+    /// How long the client is told to wait before a retry.
     pub(super) retry_after: Option<Duration>,
 }
 
-/// Why a request has no whole answer.
+/// Why a request got no complete answer.
 #[derive(Debug, Error)]
 pub(super) enum ExchangeError {
     /// The connection was closed before the request was written to it.
-    #[error("not sent")]
+    #[error("the connection was closed before the request was sent")]
     NotSent,
-    /// The connection ended after that, with no answer.
-    #[error("closed: {0}")]
+    /// The connection was closed after the request was written, without an answer.
+    #[error("the connection was closed before the answer: {0}")]
     Closed(hyper::Error),
-    /// The answer broke off, or is none.
-    #[error("broken: {0}")]
+    /// The answer is truncated or malformed.
+    #[error("the answer is truncated or malformed: {0}")]
     Broken(hyper::Error),
 }
 
 impl Connection {
-    /// Opens one.
+    /// Opens a connection.
     pub(super) async fn open(address: SocketAddr) -> io::Result<Self> {
         let stream = TcpStream::connect(address).await?;
         stream.set_nodelay(true)?;
         let (sender, connection) = http1::handshake(TokioIo::new(stream)).await.map_err(io::Error::other)?;
-        // It ends with the sender, and tells it of any other end.
+        // The task ends when the sender is dropped; if the connection ends earlier, the sender reports it.
         tokio::spawn(connection);
         Ok(Self { sender, has_answered: false })
     }
 
-    /// Whether it has carried a request that was answered.
+    /// Whether an earlier request on this connection was answered.
     pub(super) fn has_answered(&self) -> bool {
         self.has_answered
     }
 
-    /// Whether it is known that no further request can be sent on it.
+    /// Whether the connection is known to be closed, so that it cannot carry another request.
     pub(super) fn is_closed(&self) -> bool {
         self.sender.is_closed()
     }
@@ -86,12 +86,12 @@
     }
 }
 
-/// What the end of an exchange without an answer means: an answer that makes no sense is not a close.
+/// Classifies an exchange that ended without an answer: a malformed answer does not count as a close.
 fn classify_error(error: hyper::Error) -> ExchangeError {
     if error.is_parse() { ExchangeError::Broken(error) } else { ExchangeError::Closed(error) }
 }
 
-/// Seconds of `Retry-After`, whole or decimal; dates and nonsense are passed over.
+/// Seconds of `Retry-After`, whole or decimal; dates and malformed values are ignored.
 fn parse_retry_after(response: &Response<Incoming>) -> Option<Duration> {
     let seconds = response.headers().get(RETRY_AFTER)?.to_str().ok()?.trim().parse().ok()?;
     Duration::try_from_secs_f64(seconds).ok()
--- a/scale/src/client/dispatch.rs
+++ b/scale/src/client/dispatch.rs
@@ -1,4 +1,4 @@
-//! Starts calls at their drawn times, whatever becomes of those before: an open loop.
+//! Starts calls at their scheduled times without waiting for earlier ones: an open loop.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -11,14 +11,14 @@
 use super::arrivals::{Arrival, Arrivals};
 use super::caller::Caller;
 
-/// Calls of one route that are out at a time at most: beyond it the machine is what is measured.
+/// Maximum calls of one route in flight. Beyond it, the run would measure the machine and not the balancer.
 pub(super) const MAX_IN_FLIGHT_CALLS: usize = 4096;
-/// Longest sleep between two looks at whether the run goes on.
+/// Longest sleep between two checks whether the run has been stopped.
 const STOP_CHECK_INTERVAL: Duration = Duration::from_millis(50);
-/// Overload is logged once in so long at most.
+/// Minimum time between two log events about overload.
 const MIN_LOG_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Ends the dispatch when dropped.
+/// Stops the dispatch when dropped.
 struct StopOnDrop(Arc<AtomicBool>);
 
 impl Drop for StopOnDrop {
@@ -27,8 +27,8 @@
     }
 }
 
-/// Makes all calls of a route and returns when the last has ended. Dropped before, it makes no further ones and
-/// gives up those that are out.
+/// Makes all calls of a route and returns when the last one has ended. Dropping the future earlier starts no
+/// further calls and aborts those in flight.
 pub(super) async fn make_calls(
     arrivals: Arrivals,
     caller: Arc<Caller>,
@@ -45,40 +45,40 @@
         calls: JoinSet::new(),
         overload_logged_at: None,
     };
-    // A thread of its own: the runtime's timers are a millisecond coarse.
+    // A dedicated thread, because the runtime's timers have a resolution of only a millisecond.
     let dispatch_result = spawn_blocking(move || dispatch.run(arrivals)).await;
-    let Ok(mut calls) =
-        dispatch_result.inspect_err(|error| tracing::error!(%error, "no calls are made any more"))
-    else {
+    let Ok(mut calls) = dispatch_result.inspect_err(
+        |error| tracing::error!(%error, "the dispatch of calls failed; no further calls are made"),
+    ) else {
         return;
     };
-    while let Some(ended) = calls.join_next().await {
-        log_panic(ended);
+    while let Some(joined) = calls.join_next().await {
+        log_failed_call(joined);
     }
 }
 
 struct Dispatch {
     caller: Arc<Caller>,
     load_start: Instant,
-    /// Calls that may be out at a time.
+    /// Maximum calls in flight.
     max_in_flight: usize,
     stop_requested: Arc<AtomicBool>,
     runtime: Handle,
     calls: JoinSet<()>,
-    /// When overload was logged last.
+    /// When overload was last logged.
     overload_logged_at: Option<Instant>,
 }
 
 impl Dispatch {
-    /// Starts each call at its time; gives those that are still out.
+    /// Starts each call at its time and returns the calls that are still in flight.
     fn run(mut self, arrivals: Arrivals) -> JoinSet<()> {
         for arrival in arrivals {
             let due = self.load_start + arrival.offset;
             if !self.sleep_until(due) {
                 break;
             }
-            while let Some(ended) = self.calls.try_join_next() {
-                log_panic(ended);
+            while let Some(joined) = self.calls.try_join_next() {
+                log_failed_call(joined);
             }
             self.start_call(arrival, due);
         }
@@ -95,7 +95,7 @@
         self.calls.spawn_on(async move { caller.run_call(arrival, due).await }, &self.runtime);
     }
 
-    /// Whether the run still goes on at that time.
+    /// Sleeps until `due`; `false` if the run was stopped before.
     fn sleep_until(&self, due: Instant) -> bool {
         loop {
             if self.stop_requested.load(Ordering::Relaxed) {
@@ -113,15 +113,15 @@
         if self.overload_logged_at.is_none_or(|at| at.elapsed() >= MIN_LOG_INTERVAL) {
             tracing::warn!(
                 outstanding = self.max_in_flight,
-                "the client is overloaded: calls are not sent and fail"
+                "client overloaded: new calls are not sent and count as failed"
             );
             self.overload_logged_at = Some(Instant::now());
         }
     }
 }
 
-fn log_panic(ended: Result<(), tokio::task::JoinError>) {
-    if let Err(error) = ended {
-        tracing::error!(%error, "a client's call has no end");
+fn log_failed_call(joined: Result<(), tokio::task::JoinError>) {
+    if let Err(error) = joined {
+        tracing::error!(%error, "the task of a client call failed; the outcome is not recorded");
     }
 }
--- a/scale/src/client/mod.rs
+++ b/scale/src/client/mod.rs
@@ -1,4 +1,4 @@
-//! Clients on sockets: open-loop load with deadlines, repeats and leavings, over HTTP.
+//! Clients with real sockets: open-loop HTTP load with deadlines, retries and early disconnects.
 
 mod arrivals;
 mod caller;
@@ -18,14 +18,16 @@
 use crate::scenario::Scenario;
 use crate::topology::Topology;
 
-/// A client that takes up one call in a hundred later than this is too slow for its load, in microseconds.
+/// Maximum 99th percentile of the delay with which the client starts calls, in microseconds; above it the
+/// client is too slow for its load.
 const MAX_P99_LAG_US: u64 = 5_000;
 
-/// Makes the calls of clients to the real balancers, and beside them those straight to nodes, and returns when
-/// the last one has ended.
+/// Makes the clients' calls to the real balancers and, at the same time, the calls that go directly to nodes;
+/// returns when the last one has ended.
 ///
-/// `balancers` are the real balancers in their order, `direct` the nodes of the first real service; arrivals
-/// count from `start`. Dropped before its end, it gives up the calls that are out, and they are not recorded.
+/// `balancers` are the real balancers in their order, `nodes` the nodes of the first real service; arrivals
+/// are scheduled relative to `load_start`. Dropping the future earlier aborts the calls in flight without
+/// recording them.
 pub async fn run_load(
     scenario: &Scenario,
     _topology: &Topology,
@@ -47,7 +49,7 @@
     warn_if_client_was_too_slow(&record);
 }
 
-/// Says so if the client itself was too slow or had to leave calls out.
+/// Logs a warning if the client itself started calls late or could not send all of them.
 fn warn_if_client_was_too_slow(record: &Record) {
     let measured = record.measured();
     let lag_us = measured.client_lag_us.percentile(99.0);
@@ -57,7 +59,7 @@
         tracing::warn!(unsent, "the client was overloaded: some calls were never sent");
     }
     if let Some(lag_us) = lag_us.filter(|&lag| lag > MAX_P99_LAG_US) {
-        tracing::warn!(lag_us, "the client was late with one call in a hundred");
+        tracing::warn!(lag_us, "the client started at least one call in a hundred late");
     }
 }
 
--- a/scale/src/client/pool.rs
+++ b/scale/src/client/pool.rs
@@ -1,4 +1,4 @@
-//! The connections to one balancer or node: kept alive, and more are opened when all are busy.
+//! Connections to one balancer or node. They are kept alive, and more are opened when all are busy.
 
 use std::io;
 use std::net::SocketAddr;
@@ -10,7 +10,7 @@
 #[derive(Debug)]
 pub(super) struct Pool {
     address: SocketAddr,
-    /// Those between requests, the latest used last.
+    /// Connections without a request in flight; the most recently used one is last.
     idle: Mutex<Vec<Connection>>,
 }
 
@@ -19,7 +19,7 @@
         Self { address, idle: Mutex::default() }
     }
 
-    /// The connection between requests that was used last, if there is one.
+    /// Takes the most recently used idle connection, if there is one.
     pub(super) fn take_idle(&self) -> Option<Connection> {
         let mut idle = self.lock();
         while let Some(connection) = idle.pop() {
@@ -35,7 +35,7 @@
         Connection::open(self.address).await
     }
 
-    /// Takes a connection back after an answer.
+    /// Returns a connection to the pool for further requests.
     pub(super) fn put_back(&self, connection: Connection) {
         if !connection.is_closed() {
             self.lock().push(connection);
--- a/scale/src/client/request.rs
+++ b/scale/src/client/request.rs
@@ -1,4 +1,4 @@
-//! Requests as clients send them.
+//! Builds the requests that clients send.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -16,15 +16,15 @@
 const REQUEST_ID_HEADER: HeaderName = HeaderName::from_static("x-request-id");
 const TENANT_HEADER: HeaderName = HeaderName::from_static("x-tenant");
 const DEADLINE_HEADER: HeaderName = HeaderName::from_static("x-deadline");
-/// Body of a request of the class that must not run twice.
+/// Body of requests of the class that must not run twice.
 const ORDER_BODY: &[u8] = b"one order";
 
-/// The parts of requests that do not change, made once.
+/// Builds requests from parts that are prepared once: URIs and header values.
 #[derive(Debug)]
 pub(super) struct RequestBuilder {
-    /// Number of the hop that a request arrives at.
+    /// Hop number of the requests when they reach their targets.
     hop: u32,
-    /// By hops and number of the tenant.
+    /// Keyed by number of hops and tenant number.
     read_uris: BTreeMap<(u32, u32), Uri>,
     order_uris: BTreeMap<(u32, u32), Uri>,
     host_headers: Vec<HeaderValue>,
@@ -32,7 +32,7 @@
 }
 
 impl RequestBuilder {
-    /// For requests of these depths to these targets.
+    /// Prepares requests with these numbers of hops to these targets.
     pub(super) fn new(hop: u32, depths: impl Iterator<Item = u32> + Clone, targets: &[SocketAddr]) -> Self {
         let combinations =
             || depths.clone().flat_map(|hops| (0..TENANT_COUNT).map(move |tenant| (hops, tenant)));
@@ -45,7 +45,7 @@
         Self { hop, read_uris, order_uris, host_headers, tenant_headers }
     }
 
-    /// The request of a call's try, counted from 0, whose client waits for `remaining`.
+    /// Builds the request of an attempt, counted from 0, whose client still waits for `remaining`.
     pub(super) fn build(&self, arrival: &Arrival, attempt_number: u32, remaining: Duration) -> ClientRequest {
         let (method, uris, body) = match arrival.class {
             Class::Read => (Method::GET, &self.read_uris, Full::default()),
@@ -66,8 +66,8 @@
     }
 }
 
-/// The tenant stands in the query as well: balancers pass on the query, but no header that names it, and nodes
-/// have to tell it to the next balancer.
+/// The tenant is also part of the query: balancers forward the query but not the tenant header, and nodes
+/// have to pass the tenant to the next balancer.
 fn uri(class: Class, hops: u32, hop: u32, tenant: u32) -> Uri {
     let text = format!("/{}?hops={hops}&hop={hop}&tenant={}", class.name(), tenant_name(tenant));
     text.parse().expect("a path of plain letters and digits")
--- a/scale/src/client/tests.rs
+++ b/scale/src/client/tests.rs
@@ -16,19 +16,19 @@
 use crate::scenario::Scenario;
 use server::{Reply, Server, answer, answer_with};
 
-/// Longer than anything takes that works.
+/// Longer than any step of a passing test takes.
 const TEST_TIMEOUT: Duration = Duration::from_secs(30);
-/// Time limits that nothing meets.
+/// Time limits that no passing test reaches.
 const UNREACHED_LIMITS: Limits =
     Limits { deadline: TEST_TIMEOUT, grace: TEST_TIMEOUT, close_race_window: TEST_TIMEOUT };
 
 fn scenario() -> Scenario {
     let text = "name = 'test'\nduration_s = 0.5\n[fleet]\nservices = 0\nhollow = 0\nreal = 1\n\
                 [load]\nreal_calls_per_s = 100.0\ndeadline_s = 30.0\n";
-    toml::from_str(text).expect("a sound scenario")
+    toml::from_str(text).expect("a valid scenario")
 }
 
-/// Clients of one server, and what is recorded of them.
+/// Clients of one server, and the record of their calls.
 struct Clients {
     caller: Caller,
     record: Arc<Record>,
@@ -47,7 +47,7 @@
         Self { caller, record }
     }
 
-    /// Makes a call now, and tells how it ended.
+    /// Makes a call now and returns its outcome.
     async fn call(&self, arrival: Arrival) -> Call {
         self.caller.run_call(arrival, Instant::now()).await;
         let measured = self.record.measured();
@@ -69,7 +69,7 @@
     first_request_id: 0x1f,
 };
 
-/// Clients of a server whose first request on each connection is answered, and each later one as scripted.
+/// Clients of a server that answers the first request on each connection and treats later ones as scripted.
 async fn clients_after_first_answer(
     limits: Limits,
     reply: impl Fn() -> Reply + Send + Sync + 'static,
@@ -191,7 +191,7 @@
 #[tokio::test]
 async fn a_close_by_a_server_that_has_ended_fails() {
     let port = ReservedPort::any().expect("a free port");
-    let listener = TcpListener::bind(port.address()).expect("it may be shared");
+    let listener = TcpListener::bind(port.address()).expect("the reserved port can be bound again");
     let server = std::thread::spawn(move || {
         let (mut stream, _) = listener.accept().expect("a client");
         let mut bytes = [0; 1024];
@@ -199,7 +199,7 @@
         let _ = std::io::Write::write_all(&mut stream, answer_with("200 OK", "").as_bytes());
         let _ = std::io::Read::read(&mut stream, &mut bytes);
         std::thread::sleep(Duration::from_millis(100));
-        // Other threads may start programs just now, which hold it for a moment too.
+        // Shut down explicitly: a process that another thread is starting may briefly inherit the descriptor.
         SockRef::from(&listener).shutdown(Shutdown::Both).expect("it listens");
     });
     let clients = Clients::new(
@@ -228,7 +228,7 @@
 }
 
 #[tokio::test]
-async fn refusals_are_repeated_with_a_fresh_id_after_retry_after() {
+async fn refused_calls_are_retried_with_a_new_id_after_retry_after() {
     for status in ["429 Too Many Requests", "503 Service Unavailable"] {
         let refusal = answer_with(status, "Retry-After: 0.2\r\n");
         let server = Server::start(move |request| match request.number {
@@ -245,14 +245,14 @@
 }
 
 #[tokio::test]
-async fn a_call_that_is_refused_each_time_ends_after_its_repeats() {
+async fn a_call_that_is_always_refused_ends_after_its_retries() {
     let server = Server::start(|_| answer("503 Service Unavailable"));
     assert_eq!(Clients::new(server.address, UNREACHED_LIMITS, 2).call_end().await, CallEnd::Refused);
     assert_eq!(server.requests().len(), 3);
 }
 
 #[tokio::test]
-async fn no_repeat_begins_after_the_deadline() {
+async fn no_retry_starts_after_the_deadline() {
     let server = Server::start(|_| Reply::Write(answer_with("503 No", "Retry-After: 9\r\n")));
     let limits = Limits { deadline: Duration::from_millis(1400), ..UNREACHED_LIMITS };
     assert_eq!(Clients::new(server.address, limits, 2).call_end().await, CallEnd::Refused);
@@ -260,7 +260,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_client_that_leaves_closes_its_connection() {
+async fn a_client_that_disconnects_early_closes_its_connection() {
     let server = Server::start(|_| Reply::Silence);
     let arrival = Arrival { disconnect_after: Some(Duration::from_millis(500)), ..ARRIVAL };
     assert_eq!(
--- a/scale/src/client/tests/open_loop.rs
+++ b/scale/src/client/tests/open_loop.rs
@@ -1,4 +1,4 @@
-//! Tests of whole loads: open loop, overload, an end for each call.
+//! Tests of complete loads: open loop, overload, and an outcome for each call.
 
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::{Arc, Condvar, Mutex};
@@ -13,11 +13,11 @@
 use crate::record::{CallEnd, Record};
 use crate::topology::Topology;
 
-/// A server that answers nobody before so many requests are there at once.
-fn answer_once_gathered(count: usize) -> Server {
-    let gathered = Arc::new((Mutex::new(0), Condvar::new()));
+/// A server that answers no request before `count` requests are in flight at once.
+fn server_waiting_for(count: usize) -> Server {
+    let arrivals = Arc::new((Mutex::new(0), Condvar::new()));
     Server::start(move |_| {
-        let (arrived, changed) = &*gathered;
+        let (arrived, changed) = &*arrivals;
         let mut arrived = arrived.lock().expect("no panic");
         *arrived += 1;
         changed.notify_all();
@@ -31,8 +31,8 @@
     let scenario = scenario();
     let count = Arrivals::to_balancers(&scenario, 1).count();
     assert!(count > 20, "{count}");
-    // Only an open loop has them all out at once.
-    let server = answer_once_gathered(count);
+    // Only an open loop has all of them in flight at once.
+    let server = server_waiting_for(count);
     let record = Arc::<Record>::default();
     let topology = Topology::of(&scenario.fleet);
     let start = Instant::now();
--- a/scale/src/client/tests/server.rs
+++ b/scale/src/client/tests/server.rs
@@ -1,4 +1,4 @@
-//! A server on loopback that does with each request what the test says.
+//! A scripted HTTP server on loopback.
 
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{Ipv4Addr, SocketAddr, TcpListener, TcpStream};
@@ -7,12 +7,12 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// A request as it came.
+/// A request that the server has received.
 #[derive(Debug, Clone)]
 pub(super) struct ReceivedRequest {
     /// Number of its connection, from 0.
     pub(super) connection: usize,
-    /// Number of the request on it, from 0.
+    /// Number of the request on its connection, from 0.
     pub(super) number: usize,
     /// Method and path.
     pub(super) line: String,
@@ -29,13 +29,13 @@
 
 /// What the server does with a request.
 pub(super) enum Reply {
-    /// Writes these bytes and goes on.
+    /// Writes these bytes and keeps the connection open.
     Write(String),
-    /// Writes these bytes after this time and goes on.
+    /// Writes these bytes after this delay and keeps the connection open.
     WriteAfter(Duration, String),
-    /// Closes after this time, having written these bytes.
+    /// Waits for this delay, writes these bytes and closes the connection.
     Close(Duration, String),
-    /// Says nothing until the client closes.
+    /// Does not answer, and waits for the client to close.
     Silence,
 }
 
@@ -50,14 +50,14 @@
 pub(super) struct Server {
     pub(super) address: SocketAddr,
     requests: Arc<Mutex<Vec<ReceivedRequest>>>,
-    /// The connections that a client has closed, by number.
+    /// Numbers of the connections that a client has closed.
     closed_connections: Receiver<usize>,
 }
 
 impl Server {
     pub(super) fn start(script: impl Fn(&ReceivedRequest) -> Reply + Send + Sync + 'static) -> Self {
         let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).expect("a free port");
-        let address = listener.local_addr().expect("bound");
+        let address = listener.local_addr().expect("a bound socket");
         let requests = Arc::new(Mutex::new(Vec::new()));
         let (shared, script) = (Arc::clone(&requests), Arc::new(script));
         let (close_sender, closed_connections) = mpsc::channel();
@@ -79,13 +79,13 @@
         self.requests.lock().expect("no panic").clone()
     }
 
-    /// The next connection that a client closes.
+    /// Waits for the next connection that a client closes and returns its number.
     pub(super) fn next_closed_connection(&self) -> usize {
         self.closed_connections.recv_timeout(super::TEST_TIMEOUT).expect("the client closes")
     }
 }
 
-/// Serves a connection; whether it was the client that ended it.
+/// Serves a connection; returns whether the client closed it.
 fn serve(
     stream: TcpStream,
     connection: usize,
--- a/scale/src/process/balancer.rs
+++ b/scale/src/process/balancer.rs
@@ -16,10 +16,11 @@
 use super::port::ReservedPort;
 use super::{health, log};
 
-/// A process accepts connections so long after its start at the latest.
+/// Maximum time from the start of a process until it accepts connections.
 const LISTEN_TIMEOUT: Duration = Duration::from_secs(10);
-/// Wait between two looks at a process that is starting.
+/// Interval at which the state of a process is polled.
 const POLL_INTERVAL: Duration = Duration::from_millis(10);
+
 /// A process of the balancer program. It is killed and reaped when dropped.
 #[derive(Debug)]
 pub struct BalancerProcess {
@@ -27,24 +28,25 @@
     child: Mutex<Child>,
 }
 
-/// What a process is started from; the same at each restart.
+/// What is needed to start the process; the same at each restart.
 #[derive(Debug)]
 struct Launch {
     name: String,
     program: PathBuf,
     configuration_file: PathBuf,
     log_file: PathBuf,
-    /// Held while the process is down, so that it can come back.
+    /// Kept reserved while the process is down, so that it can restart on the same port.
     port: ReservedPort,
 }
 
 impl BalancerProcess {
     /// Starts a process that listens at `listen` and returns once it accepts connections there.
     ///
-    /// Its configuration and its log (`stderr.log`) lie in the folder `name` of `directory`.
+    /// Its configuration and its log (`stderr.log`) are in the subdirectory `name` of `directory`.
     ///
     /// # Errors
-    /// The files cannot be written, the program cannot be run, the port is taken, or the process ends at once.
+    /// The files cannot be written, the program cannot be run, the port is in use, or the process exits at
+    /// once.
     pub async fn start(
         program: &Path,
         directory: &Path,
@@ -56,10 +58,11 @@
         Self::start_on(port, program, directory, name, configuration).await
     }
 
-    /// Starts a process at any free port; `configuration` is told the address. The rest is as in [`Self::start`].
+    /// Starts a process on any free port; `configuration` receives the address. Otherwise like
+    /// [`Self::start`].
     ///
     /// # Errors
-    /// As in [`Self::start`], or no port is free.
+    /// As for [`Self::start`], or no port is free.
     pub async fn start_on_any_port(
         program: &Path,
         directory: &Path,
@@ -98,7 +101,7 @@
     /// Waits until `/_health` answers 200.
     ///
     /// # Errors
-    /// The process ends, or is not ready `within` this time.
+    /// The process has exited, or it is not ready `within` this time.
     pub async fn wait_until_ready(&self, within: Duration) -> Result<(), ProcessError> {
         let start = Instant::now();
         while !health::is_ready(self.launch.port.address()).await {
@@ -111,31 +114,31 @@
         self.ensure_running()
     }
 
-    /// Where it listens.
+    /// Address at which the process listens.
     #[must_use]
     pub fn address(&self) -> SocketAddr {
         self.launch.port.address()
     }
 
-    /// The id of the process; another one after a restart.
+    /// Id of the process; it changes at each restart.
     #[must_use]
     pub fn id(&self) -> u32 {
         self.child().id()
     }
 
-    /// Its copy's name.
+    /// Name of the balancer.
     #[must_use]
     pub fn name(&self) -> &str {
         &self.launch.name
     }
 
-    /// Replaces the configuration file as a whole and sends SIGHUP.
+    /// Replaces the whole configuration file and sends SIGHUP.
     ///
     /// # Errors
-    /// The file cannot be written, or the process has ended.
+    /// The file cannot be written, or the process has exited.
     pub fn replace_configuration(&self, text: &str) -> Result<(), ProcessError> {
         self.launch.write_configuration(text)?;
-        // Held while it is signalled: until it is reaped its id belongs to no other process.
+        // Locked during the signal, so that the process is not reaped meanwhile and its id is not reused.
         let mut child = self.child();
         self.launch.ensure_running(&mut child)?;
         let pid = i32::try_from(child.id()).ok().and_then(Pid::from_raw);
@@ -143,7 +146,7 @@
         kill_process(pid, Signal::HUP).map_err(|cause| self.launch.process_control_error(cause.into()))
     }
 
-    /// How it ended, if it has.
+    /// Exit status of the process; `None` while it runs.
     pub fn exit_status(&mut self) -> Option<ExitStatus> {
         self.child().try_wait().ok().flatten()
     }
@@ -154,7 +157,7 @@
         log::last_lines(&self.launch.log_file)
     }
 
-    /// Kills the process and reaps it; does nothing to one that has ended.
+    /// Kills the process and reaps it; does nothing if it has already exited.
     pub async fn kill(&mut self) {
         let _ = self.child().kill();
         while matches!(self.child().try_wait(), Ok(None)) {
@@ -162,17 +165,17 @@
         }
     }
 
-    /// Kills the process and starts it again on the same port, with the configuration as it is in its file.
+    /// Kills the process and restarts it on the same port with the current configuration file.
     ///
     /// # Errors
-    /// As in [`Self::start`].
+    /// As for [`Self::start`].
     pub async fn kill_and_restart(&mut self) -> Result<(), ProcessError> {
         self.kill().await;
         *self.child() = self.launch.spawn()?;
         self.wait_until_listening().await
     }
 
-    /// Waits until it accepts connections.
+    /// Waits until the process accepts connections.
     async fn wait_until_listening(&self) -> Result<(), ProcessError> {
         let start = Instant::now();
         while TcpStream::connect(self.launch.port.address()).await.is_err() {
@@ -182,7 +185,8 @@
             }
             sleep(POLL_INTERVAL).await;
         }
-        // Something else may listen there that was told the same address, and this one ends for it.
+        // The connection may have been accepted by another program that was given the same address; this
+        // process exits in that case.
         self.ensure_running()
     }
 
@@ -208,7 +212,7 @@
 }
 
 impl Launch {
-    /// Replaces the configuration file at once, so that nobody reads half of it.
+    /// Replaces the configuration file atomically, so that no reader sees a part of it.
     fn write_configuration(&self, text: &str) -> Result<(), ProcessError> {
         let temporary = self.configuration_file.with_extension("next");
         let written =
@@ -233,7 +237,7 @@
         log.map_err(|cause| self.file_error(&self.log_file, cause))
     }
 
-    /// An error if the process has ended.
+    /// Returns an error if the process has exited.
     fn ensure_running(&self, child: &mut Child) -> Result<(), ProcessError> {
         match child.try_wait() {
             Ok(None) => Ok(()),
--- a/scale/src/process/balancer/tests.rs
+++ b/scale/src/process/balancer/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the start and end of processes, with the balancer program built for the tests.
+//! Tests of starting and ending processes, with the balancer program that is built for the tests.
 
 use std::fs;
 use std::io::ErrorKind;
@@ -18,12 +18,12 @@
 use crate::scenario::{Scenario, SettingsChange};
 use crate::topology::{CopyId, Topology};
 
-/// Longer than anything takes that works.
+/// Longer than any step of a passing test takes.
 const TEST_TIMEOUT: Duration = Duration::from_secs(30);
 const SCENARIO: &str = "name = 'test'\nduration_s = 1.0\n[fleet]\nservices = 0\nhollow = 0\nreal = 1\n\
                         [load]\nreal_calls_per_s = 1.0\n";
 
-/// The program; one that `cargo test` of this package alone has not built is built first.
+/// Path of the balancer program, which is built first if `cargo test` of this package alone has not built it.
 fn program() -> PathBuf {
     static PROGRAM: OnceLock<PathBuf> = OnceLock::new();
     PROGRAM.get_or_init(|| find_balancer_program().unwrap_or_else(|_| build())).clone()
@@ -41,37 +41,37 @@
     find_balancer_program().expect("it was built")
 }
 
-/// A control that accepts watches and says nothing.
+/// A control plane that accepts connections for watches but never answers.
 fn silent_control() -> TcpListener {
     TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).expect("a free port")
 }
 
-/// The configuration of the only copy, with a list of one node.
+/// The configuration of the only balancer, with a list of one node.
 fn configuration_text(control: &TcpListener, listen: SocketAddr, change: Option<SettingsChange>) -> String {
-    let scenario: Scenario = toml::from_str(SCENARIO).expect("a sound scenario");
+    let scenario: Scenario = toml::from_str(SCENARIO).expect("a valid scenario");
     let topology = Topology::of(&scenario.fleet);
-    let control = control.local_addr().expect("bound");
+    let control = control.local_addr().expect("a bound socket");
     configuration(&scenario, &topology, CopyId(0), listen, control, &one_node_list(), change)
 }
 
-async fn started(directory: &TempDir, control: &TcpListener) -> BalancerProcess {
+async fn start_balancer(directory: &TempDir, control: &TcpListener) -> BalancerProcess {
     let configuration = |listen| configuration_text(control, listen, None);
     let process =
         BalancerProcess::start_on_any_port(&program(), directory.path(), "real-0", configuration).await;
     process.expect("starts")
 }
 
-/// Why a program does not start with a configuration.
+/// The error with which a program fails to start with a configuration.
 async fn start_error(program: &Path, configuration: &str) -> ProcessError {
-    let directory = TempDir::new().expect("made");
+    let directory = TempDir::new().expect("a temporary directory");
     let configuration = |_| configuration.to_owned();
     let process =
         BalancerProcess::start_on_any_port(program, directory.path(), "real-0", configuration).await;
     process.expect_err("does not start")
 }
 
-/// Waits until the log holds these text.
-fn wait_logged(directory: &TempDir, text: &str) {
+/// Waits until the log contains this text.
+fn wait_for_log(directory: &TempDir, text: &str) {
     let start = Instant::now();
     let log = directory.path().join("real-0/stderr.log");
     while !fs::read_to_string(&log).expect("there is a log").contains(text) {
@@ -80,17 +80,17 @@
     }
 }
 
-/// Waits until somebody connects.
+/// Waits until a balancer connects.
 fn wait_for_connection(control: &TcpListener) {
     let start = Instant::now();
     control.set_nonblocking(true).expect("a socket");
     while control.accept().is_err() {
-        assert!(start.elapsed() < TEST_TIMEOUT, "nobody connects");
+        assert!(start.elapsed() < TEST_TIMEOUT, "no balancer connects");
         thread::sleep(Duration::from_millis(2));
     }
 }
 
-/// Binds as one who does not share addresses.
+/// Binds without sharing the address (no `SO_REUSEADDR`).
 fn bind_without_address_reuse(address: SocketAddr) -> Result<(), ErrorKind> {
     let socket = Socket::new(Domain::IPV4, Type::STREAM, None).expect("a socket");
     socket.bind(&address.into()).map_err(|error| error.kind())
@@ -101,9 +101,9 @@
 }
 
 #[tokio::test]
-async fn a_process_comes_up_and_is_reaped_when_dropped() {
-    let (directory, control) = (TempDir::new().expect("made"), silent_control());
-    let process = started(&directory, &control).await;
+async fn a_process_becomes_ready_and_is_reaped_when_dropped() {
+    let (directory, control) = (TempDir::new().expect("a temporary directory"), silent_control());
+    let process = start_balancer(&directory, &control).await;
     process.wait_until_ready(TEST_TIMEOUT).await.expect("ready");
     let id = process.id();
     assert!(is_running(id));
@@ -113,8 +113,8 @@
 
 #[tokio::test]
 async fn a_restart_keeps_the_address() {
-    let (directory, control) = (TempDir::new().expect("made"), silent_control());
-    let mut process = started(&directory, &control).await;
+    let (directory, control) = (TempDir::new().expect("a temporary directory"), silent_control());
+    let mut process = start_balancer(&directory, &control).await;
     let (address, id) = (process.address(), process.id());
     process.kill_and_restart().await.expect("starts again");
     process.wait_until_ready(TEST_TIMEOUT).await.expect("ready");
@@ -125,8 +125,8 @@
 
 #[tokio::test]
 async fn an_ended_process_reports_its_exit() {
-    let (directory, control) = (TempDir::new().expect("made"), silent_control());
-    let mut process = started(&directory, &control).await;
+    let (directory, control) = (TempDir::new().expect("a temporary directory"), silent_control());
+    let mut process = start_balancer(&directory, &control).await;
     assert_eq!(process.exit_status(), None);
     process.kill().await;
     assert!(process.exit_status().is_some());
@@ -140,9 +140,9 @@
 }
 
 #[tokio::test]
-async fn new_settings_reach_the_process() {
-    let (directory, control) = (TempDir::new().expect("made"), silent_control());
-    let process = started(&directory, &control).await;
+async fn a_new_configuration_reaches_the_process() {
+    let (directory, control) = (TempDir::new().expect("a temporary directory"), silent_control());
+    let process = start_balancer(&directory, &control).await;
     process.wait_until_ready(TEST_TIMEOUT).await.expect("ready");
     let new_control = silent_control();
     let listen = process.address();
@@ -151,8 +151,8 @@
     process
         .replace_configuration(&configuration_text(&control, listen, Some(SettingsChange::Malformed)))
         .expect("signalled");
-    wait_logged(&directory, "malformed");
-    process.wait_until_ready(TEST_TIMEOUT).await.expect("goes on");
+    wait_for_log(&directory, "malformed");
+    process.wait_until_ready(TEST_TIMEOUT).await.expect("still ready");
 }
 
 #[tokio::test]
@@ -163,9 +163,9 @@
 }
 
 #[tokio::test]
-async fn a_taken_port_is_named() {
-    let (directory, holder) = (TempDir::new().expect("made"), silent_control());
-    let listen = holder.local_addr().expect("bound");
+async fn a_port_in_use_is_named() {
+    let (directory, holder) = (TempDir::new().expect("a temporary directory"), silent_control());
+    let listen = holder.local_addr().expect("a bound socket");
     let text = configuration_text(&holder, listen, None);
     let started = BalancerProcess::start(&program(), directory.path(), "real-0", &text, listen).await;
     let error = started.expect_err("does not start");
@@ -173,7 +173,7 @@
 }
 
 #[tokio::test]
-async fn a_process_that_dies_at_once_shows_its_last_lines() {
+async fn a_process_that_exits_at_once_shows_its_last_lines() {
     let error = start_error(&program(), "{").await;
     let ProcessError::Exited { name, status, log } = &error else { panic!("{error}") };
     assert_eq!((name.as_str(), status.code()), ("real-0", Some(1)));
@@ -182,8 +182,8 @@
 
 #[tokio::test]
 async fn the_environment_holds_only_the_balancer_variables() {
-    let (directory, control) = (TempDir::new().expect("made"), silent_control());
-    let process = started(&directory, &control).await;
+    let (directory, control) = (TempDir::new().expect("a temporary directory"), silent_control());
+    let process = start_balancer(&directory, &control).await;
     let environment = fs::read(format!("/proc/{}/environ", process.id())).expect("it runs");
     let environment = String::from_utf8(environment).expect("text");
     let mut variables: Vec<&str> = environment.split_terminator('\0').collect();
@@ -197,7 +197,7 @@
 #[tokio::test]
 async fn a_balancer_without_ready_nodes_is_not_ready() {
     const SHORT: Duration = Duration::from_millis(100);
-    let (directory, control) = (TempDir::new().expect("made"), silent_control());
+    let (directory, control) = (TempDir::new().expect("a temporary directory"), silent_control());
     let empty = |listen| configuration_text(&control, listen, None).replace("\"ready\"", "\"draining\"");
     let started = BalancerProcess::start_on_any_port(&program(), directory.path(), "real-0", empty).await;
     let error = started.expect("starts").wait_until_ready(SHORT).await.expect_err("not ready");
--- a/scale/src/process/error.rs
+++ b/scale/src/process/error.rs
@@ -1,4 +1,4 @@
-//! What can go wrong with a balancer process.
+//! Errors of balancer processes.
 
 use std::io;
 use std::net::SocketAddr;
@@ -8,79 +8,79 @@
 
 use thiserror::Error;
 
-/// Why a balancer process could not be started or used. `log` holds the last lines that it wrote.
+/// Why a balancer process could not be started or used. `log` holds the last lines of its log.
 #[derive(Debug, Error)]
 pub enum ProcessError {
-    /// No program stands where one is looked for.
-    #[error("no balancer program at {path}: build it, or name another in STILELEAD_BALANCER")]
+    /// There is no program file at the expected path.
+    #[error("no balancer program at {path}: build it, or set STILELEAD_BALANCER to the path of another")]
     NoProgram {
-        /// Where it was looked for.
+        /// The path that was tried.
         path: PathBuf,
     },
-    /// The program is there but cannot be run.
+    /// The program exists but cannot be run.
     #[error("balancer {name}: cannot run {program}: {cause}")]
     Spawn {
-        /// The copy.
+        /// Name of the balancer.
         name: String,
-        /// The program.
+        /// Path of the program.
         program: PathBuf,
-        /// Why.
+        /// The underlying error.
         cause: io::Error,
     },
-    /// A file of the process cannot be made or written.
+    /// A file or directory of the process cannot be created or written.
     #[error("balancer {name}: cannot write {path}: {cause}")]
     File {
-        /// The copy.
+        /// Name of the balancer.
         name: String,
         /// The file or directory.
         path: PathBuf,
-        /// Why.
+        /// The underlying error.
         cause: io::Error,
     },
-    /// Something else has the port.
-    #[error("balancer {name}: {address} is taken")]
+    /// Another socket uses the port.
+    #[error("balancer {name}: {address} is already in use")]
     PortTaken {
-        /// The copy.
+        /// Name of the balancer.
         name: String,
-        /// Where it should listen.
+        /// Address at which the balancer should listen.
         address: SocketAddr,
     },
-    /// The port cannot be held, or none is free.
-    #[error("balancer {name}: no port on loopback: {cause}")]
+    /// The port cannot be reserved, or none is free.
+    #[error("balancer {name}: cannot reserve a port on loopback: {cause}")]
     NoPort {
-        /// The copy.
+        /// Name of the balancer.
         name: String,
-        /// Why.
+        /// The underlying error.
         cause: io::Error,
     },
-    /// The process has ended by itself.
-    #[error("balancer {name} has ended: {status}\n{log}")]
+    /// The process has exited by itself.
+    #[error("balancer {name} has exited: {status}\n{log}")]
     Exited {
-        /// The copy.
+        /// Name of the balancer.
         name: String,
-        /// How it ended.
+        /// Exit status of the process.
         status: ExitStatus,
         /// The last lines of its log.
         log: String,
     },
-    /// It runs, and is not where it should be after so long.
+    /// The process runs but has not reached the expected state in time.
     #[error("balancer {name} is not {state} after {within:?}\n{log}")]
     TimedOut {
-        /// The copy.
+        /// Name of the balancer.
         name: String,
-        /// What was waited for.
+        /// The expected state.
         state: &'static str,
-        /// How long.
+        /// How long it was waited for.
         within: Duration,
         /// The last lines of its log.
         log: String,
     },
     /// The process cannot be signalled or waited for.
-    #[error("balancer {name}: cannot reach its process: {cause}")]
+    #[error("balancer {name}: cannot signal or wait for its process: {cause}")]
     ProcessControl {
-        /// The copy.
+        /// Name of the balancer.
         name: String,
-        /// Why.
+        /// The underlying error.
         cause: io::Error,
     },
 }
--- a/scale/src/process/health.rs
+++ b/scale/src/process/health.rs
@@ -1,4 +1,4 @@
-//! Asking a balancer whether it can serve.
+//! Health check of a balancer.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -12,7 +12,7 @@
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 
-/// A balancer that has not answered for so long is not ready yet.
+/// A balancer that does not answer within this time is not ready yet.
 const HEALTH_CHECK_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// Whether `GET /_health` answers 200.
@@ -28,7 +28,7 @@
         .header(CONNECTION, "close")
         .body(Empty::<Bytes>::new())
         .ok()?;
-    // Ends along with the sender, or with the balancer's end of the connection.
+    // The task ends when the sender is dropped or the balancer closes the connection.
     tokio::spawn(connection);
     let response = sender.send_request(request).await.ok()?;
     Some(response.status())
--- a/scale/src/process/log.rs
+++ b/scale/src/process/log.rs
@@ -1,15 +1,15 @@
-//! The last lines of a process's log.
+//! Reads the last lines of a process's log.
 
 use std::fs::File;
 use std::io::{Read, Seek, SeekFrom};
 use std::path::Path;
 
-/// Lines that an error shows.
+/// Maximum lines that an error message shows.
 const SHOWN_LINES: usize = 5;
-/// Bytes at the end of the log in which they are looked for.
+/// Number of bytes at the end of the log that are searched for these lines.
 const TAIL_BYTES: u64 = 4096;
 
-/// The last lines of a log, each indented; empty if it has none or cannot be read.
+/// The last lines of a log, each indented; empty if the log is empty or cannot be read.
 pub(super) fn last_lines(path: &Path) -> String {
     let text = tail(path).unwrap_or_default();
     let text = String::from_utf8_lossy(&text);
--- a/scale/src/process/mod.rs
+++ b/scale/src/process/mod.rs
@@ -1,4 +1,4 @@
-//! Real balancer processes, what is measured of them, and the configuration of any copy.
+//! Real balancer processes, their resource usage, and the configuration of real and hollow balancers.
 
 pub mod balancer;
 pub mod error;
--- a/scale/src/process/port.rs
+++ b/scale/src/process/port.rs
@@ -1,14 +1,14 @@
-//! Ports on loopback that stay with the tool while the processes that listen on them come and go.
+//! Loopback ports that stay reserved for the tool while the processes that listen on them are restarted.
 
 use std::io;
 use std::net::{Ipv4Addr, SocketAddr};
 
 use socket2::{Domain, Socket, Type};
 
-/// A port that is held by a socket that never listens.
+/// A port that is reserved by a bound socket that never listens.
 ///
-/// The system gives it to nobody who asks for any port, and another process that is told the address may still
-/// listen there, as long as it sets `SO_REUSEADDR`, which the balancer does.
+/// The operating system does not assign the port to programs that ask for any free port. A process that is
+/// given the address can still listen there if it sets `SO_REUSEADDR`, which the balancer does.
 #[derive(Debug)]
 pub struct ReservedPort {
     address: SocketAddr,
@@ -27,7 +27,7 @@
     /// Reserves this address.
     ///
     /// # Errors
-    /// Something listens there, or no descriptor is free.
+    /// Another socket listens there, or no descriptor is free.
     pub fn at(address: SocketAddr) -> io::Result<Self> {
         let socket = Socket::new(Domain::for_address(address), Type::STREAM, None)?;
         socket.set_reuse_address(true)?;
@@ -36,7 +36,7 @@
         Ok(Self { address, _socket: socket })
     }
 
-    /// The address.
+    /// The reserved address.
     #[must_use]
     pub fn address(&self) -> SocketAddr {
         self.address
--- a/scale/src/process/procfs/tests.rs
+++ b/scale/src/process/procfs/tests.rs
@@ -8,35 +8,35 @@
 
 use super::Sampler;
 
-/// Longer than anything takes that works.
+/// Longer than any step of a passing test takes.
 const TEST_TIMEOUT: Duration = Duration::from_secs(30);
 
 #[test]
-fn processor_time_that_is_used_is_seen() {
+fn processor_time_is_measured() {
     let mut sampler = Sampler::new(process::id());
     let start = Instant::now();
-    // Other tests run meanwhile, so that only a lower limit holds: some time was used.
+    // Other tests run at the same time, so only a lower limit can be checked: some time was used.
     while start.elapsed() < TEST_TIMEOUT {
         let usage = sampler.sample().expect("this process runs");
         if usage.core_percent > 1.0 {
             return;
         }
-        let spin = Instant::now();
-        while spin.elapsed() < Duration::from_millis(50) {
-            std::hint::black_box(spin);
+        let spin_start = Instant::now();
+        while spin_start.elapsed() < Duration::from_millis(50) {
+            std::hint::black_box(spin_start);
         }
     }
-    panic!("no processor time was seen");
+    panic!("no processor time was measured");
 }
 
 #[test]
-fn memory_that_is_held_is_seen() {
+fn resident_memory_is_measured() {
     const MEGABYTES: usize = 64;
     let mut sampler = Sampler::new(process::id());
-    let held = vec![1_u8; MEGABYTES << 20];
+    let buffer = vec![1_u8; MEGABYTES << 20];
     let usage = sampler.sample().expect("this process runs");
     assert!(usage.memory_mb >= MEGABYTES as f64, "{usage:?}");
-    assert!(std::hint::black_box(held).len() == MEGABYTES << 20);
+    assert!(std::hint::black_box(buffer).len() == MEGABYTES << 20);
 }
 
 #[test]
@@ -50,33 +50,33 @@
 
 #[test]
 fn wakeups_of_all_threads_are_counted() {
-    const TURNS: u32 = 500;
-    let (ask, asked) = mpsc::channel::<()>();
-    let (answer, answered) = mpsc::channel::<()>();
-    let (end, ended) = mpsc::channel::<()>();
+    const ROUNDS: u32 = 500;
+    let (request_sender, requests) = mpsc::channel::<()>();
+    let (answer_sender, answers) = mpsc::channel::<()>();
+    let (end_sender, end_signal) = mpsc::channel::<()>();
     let mut sampler = Sampler::new(process::id());
     let start = Instant::now();
     let thread = thread::spawn(move || {
-        for () in asked {
-            answer.send(()).expect("the test waits");
+        for () in requests {
+            answer_sender.send(()).expect("the test waits");
         }
-        let _ = ended.recv();
+        let _ = end_signal.recv();
     });
-    for _ in 0..TURNS {
-        ask.send(()).expect("the thread waits");
-        // A pause makes sure that the other thread has gone to sleep.
+    for _ in 0..ROUNDS {
+        request_sender.send(()).expect("the thread waits");
+        // The pause makes sure that the other thread has gone to sleep.
         thread::sleep(Duration::from_micros(200));
-        answered.recv().expect("the thread answers");
+        answers.recv().expect("the thread answers");
     }
     let usage = sampler.sample().expect("this process runs");
     let wakeups = usage.wakeups_per_s * start.elapsed().as_secs_f64();
-    assert!(wakeups >= f64::from(TURNS) / 2.0, "{usage:?}");
-    drop((ask, end));
+    assert!(wakeups >= f64::from(ROUNDS) / 2.0, "{usage:?}");
+    drop((request_sender, end_sender));
     thread.join().expect("ends");
 }
 
 #[test]
-fn a_process_that_is_gone_has_no_usage() {
+fn an_ended_process_has_no_usage() {
     let mut child = process::Command::new("/bin/true").spawn().expect("runs");
     let mut sampler = Sampler::new(child.id());
     child.wait().expect("ends");
--- a/scale/src/process/program.rs
+++ b/scale/src/process/program.rs
@@ -1,18 +1,19 @@
-//! Where the balancer program is.
+//! Finds the balancer program.
 
 use std::env;
 use std::path::{Path, PathBuf};
 
 use super::error::ProcessError;
 
-/// Variable of the environment that names another program.
+/// Environment variable with the path of another balancer program.
 pub const PROGRAM_PATH_VARIABLE: &str = "STILELEAD_BALANCER";
-/// File name of the program.
+/// File name of the balancer program.
 const PROGRAM_FILE_NAME: &str = "stilelead";
-/// Folder of test executables; the programs stand in the one above.
+/// Directory of test executables; the programs are in its parent directory.
 const TEST_EXECUTABLES_DIRECTORY: &str = "deps";
 
-/// The balancer program: the one that `STILELEAD_BALANCER` names, or else `stilelead` beside this executable.
+/// Path of the balancer program: the value of `STILELEAD_BALANCER`, or else `stilelead` next to this
+/// executable.
 ///
 /// # Errors
 /// There is no such file.
@@ -21,7 +22,7 @@
     if path.is_file() { Ok(path) } else { Err(ProcessError::NoProgram { path }) }
 }
 
-/// Where the program stands if it was built along with this executable.
+/// Path of the program if it was built together with this executable.
 fn default_program_path() -> PathBuf {
     let executable = env::current_exe().unwrap_or_default();
     let directory = executable.parent().unwrap_or(Path::new(""));
--- a/scale/src/process/settings.rs
+++ b/scale/src/process/settings.rs
@@ -1,4 +1,4 @@
-//! The configuration text of a copy, real or hollow, in the form that the balancer reads.
+//! The configuration text of a real or hollow balancer, in the format that the balancer reads.
 
 use std::net::SocketAddr;
 
@@ -8,50 +8,50 @@
 use crate::scenario::{Scenario, SettingsChange};
 use crate::topology::{CopyId, Topology, ZoneId};
 
-/// Class of requests that are safe to repeat.
+/// Class of requests that are safe to retry.
 pub const CLASS_READ: &str = "read";
 /// Class of requests that must never run twice.
 pub const CLASS_ORDER: &str = "order";
 /// Class that [`SettingsChange::AddClass`] adds.
 pub const CLASS_EXTRA: &str = "extra";
-/// Tenants of each run, named by [`tenant_name`].
+/// Number of tenants in each run; [`tenant_name`] gives their names.
 pub const TENANT_COUNT: u32 = 3;
 
-/// Kind of machine of each node, as lists name it.
+/// Machine type of every node, as endpoint lists name it.
 const MACHINE_TYPE: &str = "std";
-/// Part of the deadline within which an answer earns its full worth.
+/// Fraction of the deadline within which an answer has its full value: the latency target.
 const LATENCY_TARGET_FRACTION: f64 = 0.5;
-/// Requests a second within each tenant's share: more than any run makes.
+/// Request quota of each tenant: more than any run makes.
 const TENANT_QUOTA_PER_S: f64 = 1e6;
-/// Attempts per request at most.
+/// Maximum attempts per request.
 const MAX_ATTEMPTS: u32 = 3;
-/// Price of a new connection per first attempt.
+/// Cost of opening a connection, in units of a first attempt.
 const HANDSHAKE_COST: f64 = 0.05;
-/// Seconds without a watch after which a copy counts as told.
+/// Longest time that a balancer without a watch may go without asking discovery, in seconds.
 const MAX_POLL_INTERVAL_S: f64 = 10.0;
-/// Seconds of idleness after which a connection closes.
+/// Idle time after which a connection is closed, in seconds.
 const KEEPALIVE_TIMEOUT_S: f64 = 15.0;
-/// Seconds that a connection may take to come up.
+/// Maximum time to open a connection, in seconds.
 const CONNECT_TIMEOUT_S: f64 = 0.25;
-/// Longest advice to stay away that clients follow, in seconds.
+/// Longest `Retry-After` that clients follow, in seconds.
 pub const MAX_RETRY_AFTER_S: f64 = 1.5;
-/// Seconds after the deadline in which a final answer still counts.
+/// Time after the deadline within which a final answer still counts, in seconds.
 const DEADLINE_GRACE_S: f64 = 0.02;
-/// Seconds in which sends to a draining node have to end.
+/// Time within which sends to a draining node have to end, in seconds.
 const DRAIN_GRACE_S: f64 = 1.0;
-/// Values of a load report on an answer, by their names in the settings.
+/// Values of the load report in an answer, by their names in the settings.
 const LOAD_REPORT_FIELDS: [&str; 4] = ["active", "waiting", "cpu", "avg_ms"];
 
-/// The name of a tenant; `number` is below [`TENANT_COUNT`].
+/// Name of a tenant; `number` is below [`TENANT_COUNT`].
 #[must_use]
 pub fn tenant_name(number: u32) -> String {
     format!("tenant-{number}")
 }
 
-/// The configuration of `copy` as JSON text, with `change` made to its settings.
+/// The configuration of `balancer` as JSON text, with `change` applied to its settings.
 ///
-/// `known` is the list that the copy has in hand at its start. [`SettingsChange::Malformed`] gives a text that
-/// does not parse.
+/// `initial_list` is the endpoint list that the balancer starts with. [`SettingsChange::Malformed`] gives a
+/// text that does not parse.
 #[must_use]
 pub fn configuration(
     scenario: &Scenario,
@@ -78,15 +78,15 @@
     text
 }
 
-/// A seed of its own for each copy of a run, in hexadecimal digits.
+/// Derives a different seed for each balancer of a run, in hexadecimal digits.
 fn balancer_seed(run_seed: u64, balancer: CopyId) -> String {
-    /// Odd, so that different copies of one run have different seeds.
+    /// Odd, so that the products of different balancer numbers differ.
     const SEED_MULTIPLIER: u64 = 0x9e37_79b9_7f4a_7c15;
     let number = balancer.0 as u64 + 1;
     format!("{:016x}", run_seed ^ number.wrapping_mul(SEED_MULTIPLIER))
 }
 
-/// Drops the second half: the braces that it closes stay open.
+/// Drops the second half of the JSON text, so that its braces stay unbalanced and it does not parse.
 fn truncate_to_half(text: &mut String) {
     let mut end = text.len() / 2;
     while !text.is_char_boundary(end) {
--- a/scale/src/process/settings/tests.rs
+++ b/scale/src/process/settings/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the configuration text: the balancer's own reader takes or refuses it.
+//! Tests of the configuration text: the balancer's own parser accepts or rejects it.
 
 use std::net::{Ipv4Addr, SocketAddr};
 use std::time::Duration;
@@ -29,7 +29,7 @@
     (Ipv4Addr::LOCALHOST, port).into()
 }
 
-/// A list of one node.
+/// An endpoint list with one node.
 pub(in crate::process) fn one_node_list() -> Update {
     let endpoint = Endpoint {
         name: "n-00001".to_owned(),
@@ -44,8 +44,8 @@
     Update { index: 41, snapshot: true, endpoints: vec![endpoint] }
 }
 
-/// What the balancer makes of the text of a copy.
-fn parsed(
+/// What the balancer's parser makes of the text for a balancer.
+fn parse_configuration(
     scenario: &Scenario,
     balancer: CopyId,
     change: Option<SettingsChange>,
@@ -64,10 +64,10 @@
 }
 
 fn scenario() -> Scenario {
-    toml::from_str(SCENARIO).expect("a sound scenario")
+    toml::from_str(SCENARIO).expect("a valid scenario")
 }
 
-/// A hollow copy in the second region, and the last real one.
+/// A hollow balancer in the second region, and the last real one.
 fn one_of_each_carrier(topology: &Topology) -> [CopyId; 2] {
     let last = topology.copies.len() - 1;
     assert_eq!(topology.copies[5].carrier, Carrier::Hollow);
@@ -81,10 +81,10 @@
     let topology = Topology::of(&scenario.fleet);
     for id in one_of_each_carrier(&topology) {
         let balancer = &topology.copies[id.0];
-        let config = parsed(&scenario, id, None).expect("a sound configuration");
+        let config = parse_configuration(&scenario, id, None).expect("a valid configuration");
         assert_eq!(config.name, balancer.name);
         assert_eq!((config.listen, config.discovery, config.sockets), (loopback(8081), loopback(8500), 1024));
-        assert_eq!(config.known.expect("a list in hand").endpoints[0].name, "n-00001");
+        assert_eq!(config.known.expect("an initial list").endpoints[0].name, "n-00001");
         let settings = config.loaded.settings;
         assert_eq!(settings.replica_index, balancer.index);
         assert_eq!(settings.replica_count as usize, topology.services[balancer.target.0].copies.len());
@@ -97,7 +97,7 @@
 
 #[test]
 fn classes_have_the_names_that_clients_send() {
-    let config = parsed(&scenario(), CopyId(0), None).expect("a sound configuration");
+    let config = parse_configuration(&scenario(), CopyId(0), None).expect("a valid configuration");
     let classes = &config.loaded.names.classes;
     let settings = &config.loaded.settings;
     assert_eq!(settings.classes[classes[CLASS_READ]].idempotency, Idempotency::Idempotent);
@@ -109,7 +109,8 @@
 
 #[test]
 fn each_balancer_has_its_own_seed() {
-    let seed = |number| parsed(&scenario(), CopyId(number), None).expect("a sound configuration").seed;
+    let seed =
+        |number| parse_configuration(&scenario(), CopyId(number), None).expect("a valid configuration").seed;
     assert_ne!(seed(0), seed(1));
     assert_eq!(seed(1), seed(1));
 }
@@ -118,11 +119,11 @@
 fn each_settings_change_changes_the_text() {
     let scenario = scenario();
     for id in one_of_each_carrier(&Topology::of(&scenario.fleet)) {
-        let changed = |change| parsed(&scenario, id, Some(change));
-        let before = parsed(&scenario, id, None).expect("a sound configuration").loaded;
-        let added = changed(SettingsChange::AddClass).expect("a sound configuration").loaded;
+        let changed = |change| parse_configuration(&scenario, id, Some(change));
+        let before = parse_configuration(&scenario, id, None).expect("a valid configuration").loaded;
+        let added = changed(SettingsChange::AddClass).expect("a valid configuration").loaded;
         assert_eq!(added.names.classes[CLASS_EXTRA], before.settings.classes.len());
-        let doubled = changed(SettingsChange::Copies).expect("a sound configuration").loaded;
+        let doubled = changed(SettingsChange::Copies).expect("a valid configuration").loaded;
         assert_eq!(doubled.settings.replica_count, before.settings.replica_count * 2);
         let refused = changed(SettingsChange::Malformed);
         assert!(matches!(refused, Err(ConfigError::Json(_))), "{refused:?}");
--- a/scale/src/record.rs
+++ b/scale/src/record.rs
@@ -1,4 +1,4 @@
-//! What a run measures as it goes; every part of the tool adds to one [`Record`].
+//! Measurements of a run. Every part of the tool adds its own to one shared [`Record`].
 
 use std::collections::BTreeMap;
 use std::sync::{Mutex, MutexGuard, PoisonError};
@@ -8,81 +8,81 @@
 
 use crate::topology::{Carrier, CopyId};
 
-/// Longest time that the histograms tell apart, in microseconds.
+/// Longest duration that the histograms can hold, in microseconds; longer ones count as this one.
 const MAX_DURATION_US: u64 = 600_000_000;
-/// Significant figures of the histograms.
+/// Significant decimal digits that the histograms keep.
 const SIGNIFICANT_DIGITS: u8 = 3;
 
 /// How a client's call ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CallEnd {
-    /// Answered with 200 within its time.
+    /// Answered with 200 before the deadline.
     Served,
-    /// Answered with 429 or 503.
+    /// Answered with 429 or 503, after the client's retries, if any.
     Refused,
-    /// Any other answer, or none within its time.
+    /// Any other answer, or no answer before the deadline.
     Failed,
-    /// Taken and never answered, half a second after its time was up.
+    /// Accepted by a server, but still unanswered half a second after the deadline.
     Lost,
     /// The client closed its connection before the answer.
     ClientLeft,
 }
 
-/// A first-hop call, its repeats by the client included.
+/// The outcome of a call by a client (the first hop), including the client's own retries.
 #[derive(Debug, Clone, Copy)]
 pub struct Call {
-    /// Whether it went to a real or a hollow copy.
+    /// Whether it went to a real or a hollow (simulated, in-process) balancer.
     pub carrier: Carrier,
     /// Hops from the client to the last node.
     pub hops: u32,
-    /// How it ended.
+    /// How the call ended.
     pub end: CallEnd,
-    /// Time from its drawn arrival to its end.
+    /// Time from the scheduled arrival of the call to its end.
     pub latency: Duration,
-    /// When it ended.
+    /// When the call ended.
     pub ended_at: Instant,
 }
 
-/// One look at a process, over the time since the look before.
+/// Resource usage of a process since the previous sample.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct ProcessUsage {
-    /// Percent of one core.
+    /// Processor time, in percent of one core.
     pub core_percent: f64,
     /// Resident memory in megabytes.
     pub memory_mb: f64,
-    /// Open descriptors.
+    /// Open file descriptors.
     pub descriptors: u64,
-    /// Voluntary context switches a second.
+    /// Voluntary context switches per second.
     pub wakeups_per_s: f64,
 }
 
-/// What control carried for one copy over the run.
+/// Traffic between the control plane and one balancer over the run.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct ControlUsage {
-    /// Bytes written to it.
+    /// Bytes that the control plane wrote to the balancer.
     pub bytes: u64,
-    /// Calls that it made.
+    /// Calls that the balancer made to the control plane.
     pub calls: u64,
-    /// Calls that were answered with 503.
+    /// Calls that the control plane answered with 503.
     pub rejected_calls: u64,
 }
 
-/// All that is measured in a run.
+/// Everything that is measured in a run.
 #[derive(Debug, Default)]
 pub struct Measured {
-    /// Calls by how they ended.
+    /// Calls of clients with their outcomes.
     pub calls: Vec<Call>,
-    /// From the drawn arrival of a call to when the client took it up, in microseconds.
+    /// From the scheduled arrival of a call to when the client started it, in microseconds.
     pub client_lag_us: DurationHistogram,
-    /// Calls that the client never sent because too many were out; they count as failed.
+    /// Calls that the client never sent because too many were in flight; they count as failed.
     pub client_unsent: u64,
-    /// Requests sent once more because their connection was closed before they were read.
+    /// Requests that were sent once more because their connection was closed before they were read.
     pub client_resent: u64,
-    /// Served calls of one hop through a real balancer, in microseconds.
+    /// Latency of served one-hop calls through a real balancer, in microseconds.
     pub one_hop_latency_us: DurationHistogram,
-    /// The same calls sent straight to a node, in microseconds.
+    /// Latency of one-hop calls that were sent directly to a node, in microseconds.
     pub direct_latency_us: DurationHistogram,
-    /// Served calls by hops, real part, in microseconds.
+    /// Latency of served calls through real balancers by number of hops, in microseconds.
     pub latency_by_hops_us: BTreeMap<u32, DurationHistogram>,
     /// Attempts that reached a node, by carrier (real first) and hop.
     pub attempts: [BTreeMap<u32, u64>; 2],
@@ -90,65 +90,65 @@
     pub hop_calls: [BTreeMap<u32, u64>; 2],
     /// Requests that must not run twice and did.
     pub duplicated: u64,
-    /// Cold nodes that fell.
+    /// Cold (freshly started) nodes that went down because they got more requests than they can handle.
     pub cold_falls: u64,
-    /// Changes of lists that were made since the start of the load.
+    /// Changes of endpoint lists since the start of the load.
     pub list_changes: u64,
-    /// From a list change to its arrival at a copy, in microseconds.
+    /// From a list change to its arrival at a balancer, in microseconds.
     pub list_delivery_us: DurationHistogram,
-    /// From a list change to when a copy decides by it, in microseconds.
+    /// From a list change to when a balancer decides by it, in microseconds.
     pub list_in_force_us: DurationHistogram,
-    /// From new settings to when a copy decides by them, in microseconds.
+    /// From new settings to when a balancer decides by them, in microseconds.
     pub settings_in_force_us: DurationHistogram,
-    /// Copies that never came to decide by new settings.
+    /// Balancers that never started to decide by new settings.
     pub settings_missed: u64,
-    /// Looks at the real balancers.
+    /// Usage samples of the real balancers' processes.
     pub process_samples: Vec<(CopyId, ProcessUsage)>,
-    /// Seconds of processor time of the hollow copies' threads.
+    /// Processor time of the hollow balancers' threads, in seconds.
     pub hollow_core_s: f64,
 }
 
-/// A histogram of times in microseconds.
+/// A histogram of durations in microseconds.
 #[derive(Debug, Clone)]
 pub struct DurationHistogram(Histogram<u64>);
 
 impl Default for DurationHistogram {
     fn default() -> Self {
         let histogram = Histogram::new_with_bounds(1, MAX_DURATION_US, SIGNIFICANT_DIGITS);
-        Self(histogram.expect("the bounds are constants that the histogram takes"))
+        Self(histogram.expect("the constant bounds are valid"))
     }
 }
 
 impl DurationHistogram {
-    /// Adds a time.
+    /// Adds a duration.
     pub fn add(&mut self, duration: Duration) {
         self.0.saturating_record(u64::try_from(duration.as_micros()).unwrap_or(MAX_DURATION_US).max(1));
     }
 
-    /// The time in microseconds that `percent` of those added do not exceed; `None` of nothing.
+    /// The duration in microseconds that `percent` of the added ones do not exceed; `None` if there are none.
     #[must_use]
     pub fn percentile(&self, percent: f64) -> Option<u64> {
         (!self.0.is_empty()).then(|| self.0.value_at_percentile(percent))
     }
 
-    /// How many were added.
+    /// Number of durations that were added.
     #[must_use]
     pub fn count(&self) -> u64 {
         self.0.len()
     }
 }
 
-/// The place where all parts of a run put what they measure.
+/// Shared, locked [`Measured`] that all parts of a run write to.
 #[derive(Debug, Default)]
 pub struct Record(Mutex<Measured>);
 
 impl Record {
-    /// Gives access to what was measured so far; holders do not wait for anything meanwhile.
+    /// Locks the measurements. Callers must not wait for anything while they hold the lock.
     pub fn measured(&self) -> MutexGuard<'_, Measured> {
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// A client's call has ended.
+    /// Records a client's call that has ended.
     pub fn add_call(&self, call: Call) {
         let mut measured = self.measured();
         if call.end == CallEnd::Served && call.carrier == Carrier::Real {
@@ -160,18 +160,18 @@
         measured.calls.push(call);
     }
 
-    /// A call was made at this hop, counted from 1.
+    /// Counts a call that was made at this hop; the first hop is 1.
     pub fn count_hop_call(&self, carrier: Carrier, hop: u32) {
         *self.measured().hop_calls[carrier_index(carrier)].entry(hop).or_default() += 1;
     }
 
-    /// An attempt has reached a node at this hop, counted from 1.
+    /// Counts an attempt that has reached a node at this hop; the first hop is 1.
     pub fn count_attempt(&self, carrier: Carrier, hop: u32) {
         *self.measured().attempts[carrier_index(carrier)].entry(hop).or_default() += 1;
     }
 }
 
-/// The place of a carrier in the arrays of [`Measured`].
+/// Index of a carrier in the arrays of [`Measured`].
 #[must_use]
 pub fn carrier_index(carrier: Carrier) -> usize {
     match carrier {
