--- a/scale/src/control/catalog/tests.rs
+++ b/scale/src/control/catalog/tests.rs
@@ -21,7 +21,7 @@
 }
 
 /// The entries of an update as `name status`.
-fn told(update: &Update) -> Vec<String> {
+fn entries_with_status(update: &Update) -> Vec<String> {
     update.endpoints.iter().map(|entry| format!("{} {}", entry.name, entry.status)).collect()
 }
 
@@ -30,21 +30,21 @@
     let mut catalog = Catalog::new(10);
     let now = Instant::now();
     let since = catalog.set_list(vec![endpoint("a", "ready"), endpoint("b", "ready")], now);
-    catalog.change(endpoint("b", "draining"), now);
-    catalog.change(endpoint("c", "ready"), now);
-    catalog.change(endpoint("b", "gone"), now);
-    let update = read(&catalog.after(since));
+    catalog.update_entry(endpoint("b", "draining"), now);
+    catalog.update_entry(endpoint("c", "ready"), now);
+    catalog.update_entry(endpoint("b", "gone"), now);
+    let update = read(&catalog.changes_line(since));
     assert_eq!((update.index, update.snapshot), (since + 3, false));
-    assert_eq!(told(&update), ["b gone", "c ready"]);
-    assert_eq!(told(&read(&catalog.after(since + 2))), ["b gone"]);
-    assert_eq!(told(&catalog.list()), ["a ready", "c ready"]);
+    assert_eq!(entries_with_status(&update), ["b gone", "c ready"]);
+    assert_eq!(entries_with_status(&read(&catalog.changes_line(since + 2))), ["b gone"]);
+    assert_eq!(entries_with_status(&catalog.list()), ["a ready", "c ready"]);
 }
 
 #[test]
 fn a_watcher_that_has_everything_is_told_of_no_change() {
     let mut catalog = Catalog::new(10);
     let version = catalog.set_list(vec![endpoint("a", "ready")], Instant::now());
-    let update = read(&catalog.after(version));
+    let update = read(&catalog.changes_line(version));
     assert_eq!((update.index, update.snapshot, update.endpoints.len()), (version, false, 0));
 }
 
@@ -53,17 +53,17 @@
     let mut catalog = Catalog::new(2);
     let now = Instant::now();
     for name in ["a", "b", "c", "d"] {
-        catalog.change(endpoint(name, "ready"), now);
+        catalog.update_entry(endpoint(name, "ready"), now);
     }
-    assert!(!read(&catalog.after(2)).snapshot);
+    assert!(!read(&catalog.changes_line(2)).snapshot);
     for since in [0, 1, 5] {
-        let update = read(&catalog.after(since));
+        let update = read(&catalog.changes_line(since));
         assert!(update.snapshot, "since {since}");
-        assert_eq!(told(&update), ["a ready", "b ready", "c ready", "d ready"]);
+        assert_eq!(entries_with_status(&update), ["a ready", "b ready", "c ready", "d ready"]);
     }
-    assert_eq!(catalog.made_at(2), None);
-    assert_eq!(catalog.made_at(3), Some(now));
-    assert_eq!(catalog.made_at(5), None);
+    assert_eq!(catalog.published_at(2), None);
+    assert_eq!(catalog.published_at(3), Some(now));
+    assert_eq!(catalog.published_at(5), None);
 }
 
 #[test]
@@ -72,22 +72,22 @@
     let now = Instant::now();
     let first = catalog.set_list(vec![endpoint("a", "ready"), endpoint("b", "ready")], now);
     assert_eq!(catalog.set_list(vec![endpoint("b", "ready"), endpoint("a", "ready")], now), first);
-    assert_eq!(catalog.change(endpoint("z", "gone"), now), first);
+    assert_eq!(catalog.update_entry(endpoint("z", "gone"), now), first);
     let second = catalog.set_list(vec![endpoint("b", "ready"), endpoint("c", "draining")], now);
     assert_eq!(second, first + 1);
-    assert_eq!(told(&read(&catalog.after(first))), ["a gone", "c draining"]);
+    assert_eq!(entries_with_status(&read(&catalog.changes_line(first))), ["a gone", "c draining"]);
 }
 
 #[test]
 fn texts_are_made_anew_when_the_list_has_changed() {
     let mut catalog = Catalog::new(10);
     let now = Instant::now();
-    let first = catalog.change(endpoint("a", "ready"), now);
-    catalog.change(endpoint("b", "ready"), now);
-    assert_eq!(told(&read(&catalog.after(first))), ["b ready"]);
-    assert_eq!(told(&read(&catalog.whole())), ["a ready", "b ready"]);
-    catalog.change(endpoint("c", "ready"), now);
-    assert_eq!(told(&read(&catalog.after(first))), ["b ready", "c ready"]);
-    assert_eq!(told(&read(&catalog.after(first + 1))), ["c ready"]);
-    assert_eq!(told(&read(&catalog.whole())), ["a ready", "b ready", "c ready"]);
+    let first = catalog.update_entry(endpoint("a", "ready"), now);
+    catalog.update_entry(endpoint("b", "ready"), now);
+    assert_eq!(entries_with_status(&read(&catalog.changes_line(first))), ["b ready"]);
+    assert_eq!(entries_with_status(&read(&catalog.full_list_line())), ["a ready", "b ready"]);
+    catalog.update_entry(endpoint("c", "ready"), now);
+    assert_eq!(entries_with_status(&read(&catalog.changes_line(first))), ["b ready", "c ready"]);
+    assert_eq!(entries_with_status(&read(&catalog.changes_line(first + 1))), ["c ready"]);
+    assert_eq!(entries_with_status(&read(&catalog.full_list_line())), ["a ready", "b ready", "c ready"]);
 }
--- a/scale/src/control/http.rs
+++ b/scale/src/control/http.rs
@@ -1,4 +1,5 @@
-//! The little of HTTP/1.1 that discovery speaks: requests without a body, answers of known length and chunks.
+//! The part of HTTP/1.1 that discovery needs: requests without a body, responses of known length, and chunked
+//! responses.
 
 #[cfg(test)]
 mod tests;
@@ -11,64 +12,64 @@
 use tokio::io::{AsyncRead, AsyncReadExt, AsyncWrite, AsyncWriteExt};
 use tokio::time::timeout;
 
-/// Bytes of a request's head at most.
-const HEAD_MOST: usize = 8 << 10;
-/// Bytes read at a time.
-const READ_AT_ONCE: usize = 1 << 10;
-/// How long a peer may take to make room for one answer or line.
-const WRITE_WITHIN: Duration = Duration::from_secs(5);
-/// The path of the list and of the watch.
-const MEMBERS: &str = "/catalog/members";
+/// Maximum size of a request head.
+const MAX_HEAD_BYTES: usize = 8 << 10;
+/// Size of the read buffer.
+const READ_CHUNK_BYTES: usize = 1 << 10;
+/// Time limit for writing one response or line to a peer.
+const WRITE_TIMEOUT: Duration = Duration::from_secs(5);
+/// The path of both the list and the watch.
+const MEMBERS_PATH: &str = "/catalog/members";
 
-/// What a call asks for.
+/// A parsed request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Call {
     /// The whole list.
     List,
-    /// A watch from this version on.
+    /// A watch of the changes after a version.
     Watch {
         /// The version that the caller has; 0 for none.
         since: u64,
     },
-    /// Something that discovery does not have.
+    /// A request that discovery does not serve.
     Unknown,
 }
 
 /// Why a connection ends.
 #[derive(Debug, Error)]
 pub(super) enum HttpError {
-    /// The peer has closed it, or it broke.
+    /// The peer closed the connection, or it broke.
     #[error("the connection ended: {0}")]
-    Ended(#[from] io::Error),
-    /// The request's head is too long or no text.
+    Closed(#[from] io::Error),
+    /// The request head is too long or cannot be parsed.
     #[error("a malformed request")]
     Malformed,
-    /// The peer does not read.
+    /// The peer does not read its responses.
     #[error("the peer does not read")]
     Slow,
 }
 
-/// Reads requests from a connection.
+/// Reads requests from a connection, keeping bytes of the next request between calls.
 #[derive(Debug, Default)]
-pub(super) struct Requests {
-    text: Vec<u8>,
+pub(super) struct RequestReader {
+    buffer: Vec<u8>,
 }
 
-impl Requests {
-    /// The next request; one may come in pieces.
+impl RequestReader {
+    /// Reads the next request, which may arrive in several parts.
     pub(super) async fn next(&mut self, stream: &mut (impl AsyncRead + Unpin)) -> Result<Call, HttpError> {
         loop {
-            if let Some(end) = head_end(&self.text) {
-                let head: Vec<u8> = self.text.drain(..end).collect();
-                return call(&head).ok_or(HttpError::Malformed);
+            if let Some(end) = head_end(&self.buffer) {
+                let head: Vec<u8> = self.buffer.drain(..end).collect();
+                return parse_call(&head).ok_or(HttpError::Malformed);
             }
-            if self.text.len() > HEAD_MOST {
+            if self.buffer.len() > MAX_HEAD_BYTES {
                 return Err(HttpError::Malformed);
             }
-            let mut bytes = [0; READ_AT_ONCE];
+            let mut bytes = [0; READ_CHUNK_BYTES];
             match stream.read(&mut bytes).await? {
                 0 => return Err(io::Error::from(io::ErrorKind::UnexpectedEof).into()),
-                count => self.text.extend_from_slice(&bytes[..count]),
+                count => self.buffer.extend_from_slice(&bytes[..count]),
             }
         }
     }
@@ -76,15 +77,15 @@
 
 fn head_end(text: &[u8]) -> Option<usize> {
     const END: &[u8] = b"\r\n\r\n";
-    text.windows(END.len()).position(|window| window == END).map(|place| place + END.len())
+    text.windows(END.len()).position(|window| window == END).map(|index| index + END.len())
 }
 
-fn call(head: &[u8]) -> Option<Call> {
+fn parse_call(head: &[u8]) -> Option<Call> {
     let head = std::str::from_utf8(head).ok()?;
-    let mut words = head.lines().next()?.split(' ');
-    let (method, target) = (words.next()?, words.next()?);
+    let mut parts = head.lines().next()?.split(' ');
+    let (method, target) = (parts.next()?, parts.next()?);
     let (path, query) = target.split_once('?').unwrap_or((target, ""));
-    if method != "GET" || path != MEMBERS {
+    if method != "GET" || path != MEMBERS_PATH {
         return Some(Call::Unknown);
     }
     let value = |name| query.split('&').filter_map(|part| part.split_once('=')).find(|(key, _)| *key == name);
@@ -95,8 +96,8 @@
     Some(Call::Watch { since })
 }
 
-/// An answer of known length.
-pub(super) fn answer(status: &str, body: &[u8]) -> Vec<u8> {
+/// A response of known length.
+pub(super) fn response(status: &str, body: &[u8]) -> Vec<u8> {
     let head = format!(
         "HTTP/1.1 {status}\r\nContent-Type: application/json\r\nContent-Length: {}\r\n\r\n",
         body.len()
@@ -104,37 +105,37 @@
     [head.as_bytes(), body].concat()
 }
 
-/// The head of an answer in chunks.
-pub(super) fn chunked_head() -> &'static [u8] {
+/// The head of a chunked response.
+pub(super) fn chunked_response_head() -> &'static [u8] {
     b"HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nTransfer-Encoding: chunked\r\n\r\n"
 }
 
-/// A chunk that holds one line; an empty one where there is no text.
+/// A chunk that holds one line; an empty line if there is no text.
 pub(super) fn chunk(text: &[u8]) -> Vec<u8> {
     let size = format!("{:x}\r\n", text.len() + 1);
     [size.as_bytes(), text, b"\n\r\n"].concat()
 }
 
-/// Writes the whole of `bytes` and adds to `written` what the connection has taken.
+/// Writes all of `bytes` and adds the number of bytes written to `written`, even if not all of them could be.
 ///
 /// # Errors
-/// The connection broke, or its peer does not make room in time.
+/// The connection broke, or the peer does not read within the time limit.
 pub(super) async fn write(
     stream: &mut (impl AsyncWrite + Unpin),
     bytes: &[u8],
     written: &AtomicU64,
 ) -> Result<(), HttpError> {
-    let all = async {
-        let mut left = bytes;
-        while !left.is_empty() {
-            let count = stream.write(left).await?;
+    let write_all = async {
+        let mut remaining = bytes;
+        while !remaining.is_empty() {
+            let count = stream.write(remaining).await?;
             if count == 0 {
                 return Err(io::Error::from(io::ErrorKind::WriteZero));
             }
             written.fetch_add(count as u64, Ordering::Relaxed);
-            left = &left[count..];
+            remaining = &remaining[count..];
         }
         Ok(())
     };
-    Ok(timeout(WRITE_WITHIN, all).await.map_err(|_| HttpError::Slow)??)
+    Ok(timeout(WRITE_TIMEOUT, write_all).await.map_err(|_| HttpError::Slow)??)
 }
--- a/scale/src/control/http/tests.rs
+++ b/scale/src/control/http/tests.rs
@@ -1,11 +1,11 @@
-//! The text of requests and answers, and peers that do not read.
+//! Request parsing, and peers that do not read.
 
 use tokio::io::duplex;
 
 use super::*;
 
 async fn read(text: &[u8]) -> Result<Call, HttpError> {
-    Requests::default().next(&mut &*text).await
+    RequestReader::default().next(&mut &*text).await
 }
 
 #[tokio::test]
@@ -25,19 +25,19 @@
 
 #[tokio::test]
 async fn requests_come_in_pieces_or_several_at_once() {
-    let (mut ours, mut theirs) = duplex(1);
+    let (mut client, mut server) = duplex(1);
     let text = b"GET /catalog/members HTTP/1.1\r\n\r\nGET /catalog/members?follow=1&since=7 HTTP/1.1\r\n\r\n";
-    let sent = tokio::spawn(async move { ours.write_all(text).await });
-    let mut requests = Requests::default();
-    assert_eq!(requests.next(&mut theirs).await.unwrap(), Call::List);
-    assert_eq!(requests.next(&mut theirs).await.unwrap(), Call::Watch { since: 7 });
+    let sent = tokio::spawn(async move { client.write_all(text).await });
+    let mut reader = RequestReader::default();
+    assert_eq!(reader.next(&mut server).await.unwrap(), Call::List);
+    assert_eq!(reader.next(&mut server).await.unwrap(), Call::Watch { since: 7 });
     sent.await.unwrap().unwrap();
-    assert!(matches!(requests.next(&mut theirs).await, Err(HttpError::Ended(_))));
+    assert!(matches!(reader.next(&mut server).await, Err(HttpError::Closed(_))));
 }
 
 #[tokio::test]
 async fn a_request_without_sense_or_end_is_malformed() {
-    let endless = [b'x'; 2 * HEAD_MOST];
+    let endless = [b'x'; 2 * MAX_HEAD_BYTES];
     for text in [
         &b"\r\n\r\n"[..],
         b"\xff\r\n\r\n",
@@ -50,8 +50,8 @@
 
 #[tokio::test(start_paused = true)]
 async fn a_peer_that_does_not_read_is_given_up_and_what_it_took_is_counted() {
-    let (mut ours, _theirs) = duplex(64);
+    let (mut client, _server) = duplex(64);
     let written = AtomicU64::new(0);
-    assert!(matches!(write(&mut ours, &[0; 100], &written).await, Err(HttpError::Slow)));
+    assert!(matches!(write(&mut client, &[0; 100], &written).await, Err(HttpError::Slow)));
     assert_eq!(written.into_inner(), 64);
 }
--- a/scale/src/control/mod.rs
+++ b/scale/src/control/mod.rs
@@ -1,11 +1,11 @@
-//! The stand-in control plane: up to three replicas that speak discovery's side of the protocol.
+//! A simulated control plane: up to three replicas that serve the discovery protocol to the balancers.
 
+mod call_queue;
 pub mod catalog;
 mod http;
+mod regional_lists;
 mod replica;
-mod signals;
-mod turns;
-mod views;
+mod state;
 mod watch;
 
 use std::io;
@@ -21,61 +21,61 @@
 use crate::record::{ControlUsage, Record};
 use crate::scenario::Scenario;
 use crate::topology::{CopyId, RegionId, ServiceId, Topology};
-use replica::{Counters, Desk};
-use signals::{Link, Signals};
-use turns::Turns;
-use views::Views;
+use call_queue::CallQueue;
+use regional_lists::RegionalLists;
+use replica::{Counters, ReplicaListener};
+use state::{ControlState, Link};
 
-/// Replicas at most.
-const REPLICAS_MOST: u32 = 3;
-/// The shortest time between two lines of a watch.
-const HEARTBEAT_LEAST: Duration = Duration::from_millis(1);
+/// Maximum number of control replicas.
+const MAX_REPLICAS: u32 = 3;
+/// Shortest interval between the heartbeat lines of a watch.
+const MIN_HEARTBEAT: Duration = Duration::from_millis(1);
 
 /// Why the control plane cannot start.
 #[derive(Debug, Error)]
 pub enum ControlError {
-    /// There is no port or descriptor left.
+    /// The system has no port or descriptor left.
     #[error("control has no port for copy {copy}: {cause}")]
     Port {
-        /// The copy's name.
+        /// The balancer's name.
         copy: String,
-        /// What the system says.
+        /// The operating system's error.
         cause: io::Error,
     },
 }
 
-/// The control plane. Dropping the last handle ends it.
+/// The control plane. Dropping the last handle stops it.
 #[derive(Debug)]
 pub struct ControlPlane {
-    views: Arc<Views>,
-    desks: Vec<Arc<Desk>>,
-    turns: Vec<Arc<Mutex<Turns>>>,
-    signals: tokio::sync::watch::Sender<Signals>,
+    lists: Arc<RegionalLists>,
+    listeners: Vec<Arc<ReplicaListener>>,
+    call_queues: Vec<Arc<Mutex<CallQueue>>>,
+    states: tokio::sync::watch::Sender<ControlState>,
     tasks: tokio::task::JoinSet<()>,
 }
 
 impl ControlPlane {
-    /// Starts all replicas with empty lists and one listener for each copy.
+    /// Starts all replicas with empty lists, and one listener for each balancer.
     ///
     /// # Errors
-    /// No port or descriptor is left.
+    /// The system has no port or descriptor left.
     pub async fn start(
         scenario: &Scenario,
         topology: &Topology,
         record: Arc<Record>,
     ) -> Result<Arc<Self>, ControlError> {
         let settings = &scenario.control;
-        let replicas = settings.replicas.clamp(1, REPLICAS_MOST) as usize;
-        let signals = tokio::sync::watch::Sender::new(Signals::new(replicas));
-        let turns = |_| Arc::new(Mutex::new(Turns::new(settings.calls_per_s, settings.queue)));
+        let replicas = settings.replicas.clamp(1, MAX_REPLICAS) as usize;
+        let states = tokio::sync::watch::Sender::new(ControlState::new(replicas));
+        let new_call_queue = |_| Arc::new(Mutex::new(CallQueue::new(settings.calls_per_s, settings.queue)));
         let mut control = Self {
-            views: Arc::new(Views::new(topology.services.len(), settings.history)),
-            desks: Vec::new(),
-            turns: (0..replicas).map(turns).collect(),
-            signals,
+            lists: Arc::new(RegionalLists::new(topology.services.len(), settings.history)),
+            listeners: Vec::new(),
+            call_queues: (0..replicas).map(new_call_queue).collect(),
+            states,
             tasks: tokio::task::JoinSet::new(),
         };
-        let heartbeat = Duration::try_from_secs_f64(settings.heartbeat_s).unwrap_or(HEARTBEAT_LEAST);
+        let heartbeat = Duration::try_from_secs_f64(settings.heartbeat_s).unwrap_or(MIN_HEARTBEAT);
         for (number, copy) in topology.copies.iter().enumerate() {
             let replica = number % replicas;
             let port = Port::open().map_err(|cause| ControlError::Port { copy: copy.name.clone(), cause })?;
@@ -84,124 +84,125 @@
                 replica_region: RegionId(replica as u32 % topology.regions.max(1)),
                 copy_region: topology.region(copy.zone),
             };
-            let desk = Arc::new(Desk {
+            let listener = Arc::new(ReplicaListener {
                 port,
                 link,
                 service: copy.target,
                 carrier: copy.carrier,
                 counters: Counters::default(),
-                told: AtomicU64::default(),
-                turns: control.turns[replica].clone(),
-                views: control.views.clone(),
-                signals: control.signals.clone(),
-                heartbeat: heartbeat.max(HEARTBEAT_LEAST),
+                delivered_version: AtomicU64::default(),
+                call_queue: control.call_queues[replica].clone(),
+                lists: control.lists.clone(),
+                states: control.states.clone(),
+                heartbeat: heartbeat.max(MIN_HEARTBEAT),
                 record: record.clone(),
             });
-            control.tasks.spawn(replica::listen(desk.clone()));
-            control.desks.push(desk);
+            control.tasks.spawn(replica::listen(listener.clone()));
+            control.listeners.push(listener);
         }
         Ok(Arc::new(control))
     }
 
-    /// Where a copy finds its replica.
+    /// The address at which a balancer reaches its control replica.
     #[must_use]
     pub fn address(&self, copy: CopyId) -> SocketAddr {
-        self.desks[copy.0].port.address()
+        self.listeners[copy.0].port.address()
     }
 
-    /// Makes the list of a service just this one, publishes what differs and returns the version.
+    /// Replaces the list of a service, publishes the differences and returns the version.
     pub fn set_list(&self, service: ServiceId, endpoints: Vec<Endpoint>) -> u64 {
-        self.views.change(service, |catalog, now| catalog.set_list(endpoints, now))
+        self.lists.update(service, |catalog, now| catalog.set_list(endpoints, now))
     }
 
-    /// Takes in or removes one entry and returns the version.
-    pub fn change(&self, service: ServiceId, endpoint: Endpoint) -> u64 {
-        self.views.change(service, |catalog, now| catalog.change(endpoint, now))
+    /// Adds, updates or removes one entry and returns the version.
+    pub fn update_entry(&self, service: ServiceId, endpoint: Endpoint) -> u64 {
+        self.lists.update(service, |catalog, now| catalog.update_entry(endpoint, now))
     }
 
-    /// The list of a service as it is.
+    /// The current list of a service.
     #[must_use]
     pub fn list(&self, service: ServiceId) -> Update {
-        self.views.look(service, |catalog| catalog.list())
+        self.lists.read(service, |catalog| catalog.list())
     }
 
-    /// When a version was made; `None` where the history does not hold it any more.
+    /// When a version was published; `None` if the history does not hold it any more.
     #[must_use]
-    pub fn made_at(&self, service: ServiceId, version: u64) -> Option<Instant> {
-        self.views.look(service, |catalog| catalog.made_at(version))
+    pub fn published_at(&self, service: ServiceId, version: u64) -> Option<Instant> {
+        self.lists.read(service, |catalog| catalog.published_at(version))
     }
 
-    /// A replica goes down: its connections are reset and its ports refuse. One that does not exist, or is down
-    /// already, is passed over.
+    /// Stops a replica: its connections are reset and its ports refuse new ones. Does nothing if the replica
+    /// does not exist or is already stopped.
     pub fn stop_replica(&self, replica: u32) {
         if !self.set_running(replica, false) {
             return;
         }
-        for desk in self.desks_of(replica) {
-            if let Err(error) = desk.port.shut() {
+        for listener in self.listeners_of(replica) {
+            if let Err(error) = listener.port.close() {
                 tracing::error!(%error, replica, "a port of control cannot be shut");
             }
         }
     }
 
-    /// A replica comes back on the same ports, with all that was published meanwhile and no calls waiting.
+    /// Restarts a replica on the same ports, with everything published meanwhile and no waiting calls.
     pub async fn start_replica(&self, replica: u32) {
-        let Some(turns) = self.turns.get(replica as usize) else { return };
-        if self.signals.borrow().replicas[replica as usize].runs {
+        let Some(call_queue) = self.call_queues.get(replica as usize) else { return };
+        if self.states.borrow().replicas[replica as usize].runs {
             return;
         }
-        turns.lock().unwrap_or_else(PoisonError::into_inner).clear();
-        for desk in self.desks_of(replica) {
-            if let Err(error) = desk.port.reopen() {
+        call_queue.lock().unwrap_or_else(PoisonError::into_inner).clear();
+        for listener in self.listeners_of(replica) {
+            if let Err(error) = listener.port.reopen() {
                 tracing::error!(%error, replica, "a port of control cannot be opened again");
             }
         }
         self.set_running(replica, true);
     }
 
-    /// A region loses the others: nothing passes between copies and replicas on different sides, connections stay
-    /// open and silent, and replicas of the region learn no changes.
+    /// Cuts a region off from all others: no bytes pass between balancers and replicas on different sides,
+    /// connections stay open and silent, and the replicas of the region receive no list changes.
     pub fn cut_region(&self, region: RegionId) {
-        self.views.cut(region);
-        self.signals.send_if_modified(|signals| signals.cut_off.insert(region));
+        self.lists.cut_off(region);
+        self.states.send_if_modified(|state| state.cut_off.insert(region));
     }
 
-    /// A region finds the others again: its replicas learn what they missed, and silent watches go on.
+    /// Ends the cut of a region: its replicas receive the changes they missed, and silent watches resume.
     pub fn rejoin_region(&self, region: RegionId) {
-        self.views.rejoin(region);
-        self.signals.send_if_modified(|signals| signals.cut_off.remove(&region));
+        self.lists.rejoin(region);
+        self.states.send_if_modified(|state| state.cut_off.remove(&region));
     }
 
-    /// Resets all open watches at once; those across a cut break when it ends.
+    /// Resets all open watches at once; a watch across a cut is reset when the cut ends.
     pub fn break_watches(&self) {
-        self.signals.send_modify(|signals| signals.breaks += 1);
+        self.states.send_modify(|state| state.watch_resets += 1);
     }
 
-    /// The latest version of its list that was written to a copy, or that it came with.
+    /// The latest version of its list that a balancer has: written to it, or the one from which its watch
+    /// resumed.
     #[must_use]
-    pub fn told(&self, copy: CopyId) -> u64 {
-        self.desks[copy.0].told.load(Ordering::Relaxed)
+    pub fn delivered_version(&self, copy: CopyId) -> u64 {
+        self.listeners[copy.0].delivered_version.load(Ordering::Relaxed)
     }
 
-    /// What was carried for a copy so far.
+    /// The control traffic of a balancer so far.
     #[must_use]
     pub fn usage(&self, copy: CopyId) -> ControlUsage {
-        self.desks[copy.0].counters.usage()
+        self.listeners[copy.0].counters.usage()
     }
 
-    /// Notes that a replica runs or not; `false` if it does not exist or that is known.
+    /// Marks a replica as running or stopped; `false` if it does not exist or is already in that state.
     fn set_running(&self, replica: u32, runs: bool) -> bool {
-        self.signals.send_if_modified(|signals| match signals.replicas.get_mut(replica as usize) {
-            Some(state) if state.runs != runs => {
-                state.runs = runs;
-                state.stops += u64::from(!runs);
+        self.states.send_if_modified(|state| match state.replicas.get_mut(replica as usize) {
+            Some(replica_state) if replica_state.runs != runs => {
+                replica_state.runs = runs;
+                replica_state.stops += u64::from(!runs);
                 true
             }
             _ => false,
         })
     }
 
-    fn desks_of(&self, replica: u32) -> impl Iterator<Item = &Arc<Desk>> {
-        self.desks.iter().filter(move |desk| desk.link.replica == replica as usize)
+    fn listeners_of(&self, replica: u32) -> impl Iterator<Item = &Arc<ReplicaListener>> {
+        self.listeners.iter().filter(move |listener| listener.link.replica == replica as usize)
     }
 }
--- a/scale/src/control/replica.rs
+++ b/scale/src/control/replica.rs
@@ -1,4 +1,5 @@
-//! The HTTP side of a replica towards one copy: takes connections, answers calls in turn.
+//! The HTTP server of a control replica for one balancer: accepts connections and answers calls at the
+//! replica's rate.
 
 use std::io;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -10,24 +11,24 @@
 use tokio::task::JoinSet;
 use tokio::time::{Instant, sleep, sleep_until};
 
-use super::http::{self, Call, HttpError, Requests};
-use super::signals::{self, Link, Signals};
-use super::turns::Turns;
-use super::views::Views;
-use super::watch as following;
+use super::call_queue::CallQueue;
+use super::http::{self, Call, HttpError, RequestReader};
+use super::regional_lists::RegionalLists;
+use super::state::{self, ControlState, Link};
+use super::watch as list_watch;
 use crate::port::{self, Port};
 use crate::record::{ControlUsage, Record};
 use crate::topology::{Carrier, ServiceId};
 
-/// Time before connections are taken again after the system refused one, say for want of descriptors.
-const ACCEPT_AGAIN: Duration = Duration::from_millis(20);
+/// Delay before the next accept after one failed, for example for lack of descriptors.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
-/// What was carried for one copy.
+/// The control traffic of one balancer.
 #[derive(Debug, Default)]
 pub(super) struct Counters {
     pub(super) bytes: AtomicU64,
     calls: AtomicU64,
-    turned_away: AtomicU64,
+    rejected: AtomicU64,
 }
 
 impl Counters {
@@ -35,151 +36,159 @@
         ControlUsage {
             bytes: self.bytes.load(Ordering::Relaxed),
             calls: self.calls.load(Ordering::Relaxed),
-            rejected_calls: self.turned_away.load(Ordering::Relaxed),
+            rejected_calls: self.rejected.load(Ordering::Relaxed),
         }
     }
 }
 
-/// The place at which one copy finds its replica.
+/// The listener through which one balancer talks to its control replica.
 #[derive(Debug)]
-pub(super) struct Desk {
+pub(super) struct ReplicaListener {
     pub(super) port: Port,
     pub(super) link: Link,
     pub(super) service: ServiceId,
     pub(super) carrier: Carrier,
     pub(super) counters: Counters,
-    /// The latest version that the copy was told or came with.
-    pub(super) told: AtomicU64,
-    pub(super) turns: Arc<Mutex<Turns>>,
-    pub(super) views: Arc<Views>,
-    pub(super) signals: watch::Sender<Signals>,
+    /// The latest version that the balancer has: written to it, or the one from which its watch resumed.
+    pub(super) delivered_version: AtomicU64,
+    pub(super) call_queue: Arc<Mutex<CallQueue>>,
+    pub(super) lists: Arc<RegionalLists>,
+    pub(super) states: watch::Sender<ControlState>,
     pub(super) heartbeat: Duration,
     pub(super) record: Arc<Record>,
 }
 
-/// Why a connection is to be ended; `Ended` was by its peer.
+/// How a connection ends: the peer closed it, or it has to be reset.
 #[derive(Debug)]
-pub(super) enum Closing {
-    Ended,
+pub(super) enum CloseReason {
+    ClosedByPeer,
     Reset,
 }
 
-impl From<HttpError> for Closing {
+impl From<HttpError> for CloseReason {
     fn from(error: HttpError) -> Self {
         match error {
-            HttpError::Ended(_) => Self::Ended,
+            HttpError::Closed(_) => Self::ClosedByPeer,
             HttpError::Malformed | HttpError::Slow => Self::Reset,
         }
     }
 }
 
-/// Takes connections for ever, while the replica runs. Ended, it ends its connections.
-pub(super) async fn listen(desk: Arc<Desk>) {
-    let replica = desk.link.replica;
-    let mut signals = desk.signals.subscribe();
+/// Accepts connections whenever the replica runs; never returns. Dropping the future drops the connections.
+pub(super) async fn listen(listener: Arc<ReplicaListener>) {
+    let replica = listener.link.replica;
+    let mut states = listener.states.subscribe();
     let mut connections = JoinSet::new();
     loop {
-        signals::until(&mut signals, |state| state.replicas[replica].runs).await;
-        let at_start = signals.borrow().replicas[replica];
+        state::wait_until(&mut states, |state| state.replicas[replica].runs).await;
+        let at_start = states.borrow().replicas[replica];
         tokio::select! {
             biased;
-            () = signals::until(&mut signals, |state| state.replicas[replica] != at_start) => {}
-            () = accept(&desk, &mut connections) => {}
+            () = state::wait_until(&mut states, |state| state.replicas[replica] != at_start) => {}
+            () = accept(&listener, &mut connections) => {}
         }
     }
 }
 
-/// Takes connections for ever.
-async fn accept(desk: &Arc<Desk>, connections: &mut JoinSet<()>) {
-    let listener = desk.port.listener();
+/// Accepts connections; never returns.
+async fn accept(listener: &Arc<ReplicaListener>, connections: &mut JoinSet<()>) {
+    let tcp_listener = listener.port.listener();
     loop {
-        match port::accept(&listener).await {
-            Ok(stream) => drop(connections.spawn(serve(desk.clone(), stream))),
-            Err(_) => sleep(ACCEPT_AGAIN).await,
+        match port::accept(&tcp_listener).await {
+            Ok(stream) => drop(connections.spawn(serve(listener.clone(), stream))),
+            Err(_) => sleep(ACCEPT_RETRY_DELAY).await,
         }
         while connections.try_join_next().is_some() {}
     }
 }
 
-async fn serve(desk: Arc<Desk>, mut stream: TcpStream) {
-    let mut signals = desk.signals.subscribe();
-    let replica = desk.link.replica;
-    let at_start = signals.borrow().replicas[replica];
-    let closing = tokio::select! {
+async fn serve(listener: Arc<ReplicaListener>, mut stream: TcpStream) {
+    let mut states = listener.states.subscribe();
+    let replica = listener.link.replica;
+    let at_start = states.borrow().replicas[replica];
+    let reason = tokio::select! {
         biased;
-        () = signals::until(&mut signals, |state| !at_start.runs || state.replicas[replica] != at_start) => Closing::Reset,
-        closing = converse(&desk, &mut stream) => closing,
+        () = state::wait_until(&mut states, |state| !at_start.runs || state.replicas[replica] != at_start) => CloseReason::Reset,
+        reason = serve_calls(&listener, &mut stream) => reason,
     };
-    if matches!(closing, Closing::Reset) {
-        port::reset(stream);
+    if matches!(reason, CloseReason::Reset) {
+        port::close_with_reset(stream);
     }
 }
 
-/// Answers one call after another, until the connection ends.
-async fn converse(desk: &Desk, stream: &mut TcpStream) -> Closing {
-    let mut signals = desk.signals.subscribe();
-    if !signals.borrow().joined(desk.link) {
-        // It came over a cut: nobody answers, and it does not outlive the cut.
-        return match reached(desk, &mut signals, stream).await {
-            Ok(()) => Closing::Reset,
-            Err(closing) => closing,
+/// Answers one call after another until the connection ends.
+async fn serve_calls(listener: &ReplicaListener, stream: &mut TcpStream) -> CloseReason {
+    let mut states = listener.states.subscribe();
+    if !states.borrow().is_connected(listener.link) {
+        // The connection was opened across a cut: it is not answered, and it is reset when the cut ends.
+        return match wait_until_reachable(listener, &mut states, stream).await {
+            Ok(()) => CloseReason::Reset,
+            Err(reason) => reason,
         };
     }
-    let mut requests = Requests::default();
+    let mut reader = RequestReader::default();
     loop {
-        if let Err(closing) = turn(desk, &mut signals, &mut requests, stream).await {
-            return closing;
+        if let Err(reason) = answer_call(listener, &mut states, &mut reader, stream).await {
+            return reason;
         }
     }
 }
 
-/// Reads one call and answers it when its turn has come.
-async fn turn(
-    desk: &Desk,
-    signals: &mut watch::Receiver<Signals>,
-    requests: &mut Requests,
+/// Reads one call and answers it once the call queue lets it through.
+async fn answer_call(
+    listener: &ReplicaListener,
+    states: &mut watch::Receiver<ControlState>,
+    reader: &mut RequestReader,
     stream: &mut TcpStream,
-) -> Result<(), Closing> {
-    let call = requests.next(stream).await?;
-    reached(desk, signals, stream).await?;
-    desk.counters.calls.fetch_add(1, Ordering::Relaxed);
-    let answered = desk.turns.lock().unwrap_or_else(PoisonError::into_inner).take(Instant::now());
-    let Some(answered) = answered else {
-        desk.counters.turned_away.fetch_add(1, Ordering::Relaxed);
-        return say(desk, stream, &http::answer("503 Service Unavailable", b"")).await;
+) -> Result<(), CloseReason> {
+    let call = reader.next(stream).await?;
+    wait_until_reachable(listener, states, stream).await?;
+    listener.counters.calls.fetch_add(1, Ordering::Relaxed);
+    let answer_at =
+        listener.call_queue.lock().unwrap_or_else(PoisonError::into_inner).schedule(Instant::now());
+    let Some(answer_at) = answer_at else {
+        listener.counters.rejected.fetch_add(1, Ordering::Relaxed);
+        return write(listener, stream, &http::response("503 Service Unavailable", b"")).await;
     };
-    sleep_until(answered).await;
-    reached(desk, signals, stream).await?;
+    sleep_until(answer_at).await;
+    wait_until_reachable(listener, states, stream).await?;
     match call {
-        Call::Unknown => say(desk, stream, &http::answer("404 Not Found", b"")).await,
-        Call::Watch { since } => following::follow(desk, signals, stream, since).await,
+        Call::Unknown => write(listener, stream, &http::response("404 Not Found", b"")).await,
+        Call::Watch { since } => list_watch::serve(listener, states, stream, since).await,
         Call::List => {
-            let line = desk.views.known(desk.link.replica_region, desk.service, |catalog| catalog.whole());
-            say(desk, stream, &http::answer("200 OK", &line.text)).await
+            let line =
+                listener.lists.read_in_region(listener.link.replica_region, listener.service, |catalog| {
+                    catalog.full_list_line()
+                });
+            write(listener, stream, &http::response("200 OK", &line.text)).await
         }
     }
 }
 
-/// Writes to the copy and counts the bytes.
-pub(super) async fn say(desk: &Desk, stream: &mut TcpStream, bytes: &[u8]) -> Result<(), Closing> {
-    Ok(http::write(stream, bytes, &desk.counters.bytes).await?)
+/// Writes to the balancer and counts the bytes.
+pub(super) async fn write(
+    listener: &ReplicaListener,
+    stream: &mut TcpStream,
+    bytes: &[u8],
+) -> Result<(), CloseReason> {
+    Ok(http::write(stream, bytes, &listener.counters.bytes).await?)
 }
 
-/// Waits until bytes pass between the copy and its replica, or the copy has closed the connection.
-pub(super) async fn reached(
-    desk: &Desk,
-    signals: &mut watch::Receiver<Signals>,
+/// Waits until the balancer and its replica can reach each other, or the balancer has closed the connection.
+pub(super) async fn wait_until_reachable(
+    listener: &ReplicaListener,
+    states: &mut watch::Receiver<ControlState>,
     stream: &TcpStream,
-) -> Result<(), Closing> {
+) -> Result<(), CloseReason> {
     tokio::select! {
         biased;
-        () = signals::until(signals, |state| state.joined(desk.link)) => Ok(()),
-        () = left(stream) => Err(Closing::Ended),
+        () = state::wait_until(states, |state| state.is_connected(listener.link)) => Ok(()),
+        () = wait_until_closed(stream) => Err(CloseReason::ClosedByPeer),
     }
 }
 
-/// Waits until the copy has closed the connection; what it sends is passed over.
-pub(super) async fn left(stream: &TcpStream) {
+/// Waits until the balancer has closed the connection; any data it sends is discarded.
+pub(super) async fn wait_until_closed(stream: &TcpStream) {
     let mut bytes = [0; 256];
     loop {
         if stream.readable().await.is_err() {
--- a/scale/src/control/watch.rs
+++ b/scale/src/control/watch.rs
@@ -1,4 +1,4 @@
-//! A watch: an answer that is kept open and tells what changes.
+//! A watch: a response that is kept open and streams the list changes.
 
 use std::sync::atomic::Ordering;
 use std::time::Instant;
@@ -9,70 +9,78 @@
 
 use super::catalog::Line;
 use super::http;
-use super::replica::{Closing, Desk, left, reached, say};
-use super::signals::Signals;
+use super::replica::{CloseReason, ReplicaListener, wait_until_closed, wait_until_reachable, write};
+use super::state::ControlState;
 use crate::topology::Carrier;
 
-/// Tells what changes after a version until the connection ends; it never returns otherwise.
+/// Streams the changes after a version; returns only when the connection has to end.
 ///
-/// No line is made before the one ahead of it was taken, so a slow reader costs no memory.
-pub(super) async fn follow(
-    desk: &Desk,
-    signals: &mut watch::Receiver<Signals>,
+/// The next line is not built before the previous one is written, so a slow reader needs no extra memory.
+pub(super) async fn serve(
+    listener: &ReplicaListener,
+    states: &mut watch::Receiver<ControlState>,
     stream: &mut TcpStream,
     since: u64,
-) -> Result<(), Closing> {
-    let mut news = desk.views.news(desk.service);
-    let breaks = signals.borrow().breaks;
-    say(desk, stream, http::chunked_head()).await?;
-    let mut told = tell(desk, stream, since, after(desk, since)).await?;
-    let mut heartbeat_at = TokioInstant::now() + desk.heartbeat;
+) -> Result<(), CloseReason> {
+    let mut list_changes = listener.lists.subscribe(listener.service);
+    let watch_resets = states.borrow().watch_resets;
+    write(listener, stream, http::chunked_response_head()).await?;
+    let mut delivered = send_line(listener, stream, since, changes_line(listener, since)).await?;
+    let mut heartbeat_at = TokioInstant::now() + listener.heartbeat;
     loop {
-        let silent = tokio::select! {
-            _ = news.changed() => false,
-            _ = signals.changed() => false,
+        let heartbeat_due = tokio::select! {
+            _ = list_changes.changed() => false,
+            _ = states.changed() => false,
             () = sleep_until(heartbeat_at) => true,
-            () = left(stream) => return Err(Closing::Ended),
+            () = wait_until_closed(stream) => return Err(CloseReason::ClosedByPeer),
         };
-        reached(desk, signals, stream).await?;
-        if signals.borrow().breaks != breaks {
-            return Err(Closing::Reset);
+        wait_until_reachable(listener, states, stream).await?;
+        if states.borrow().watch_resets != watch_resets {
+            return Err(CloseReason::Reset);
         }
-        let line = after(desk, told);
-        if line.version != told {
-            told = tell(desk, stream, told, line).await?;
-        } else if silent {
-            say(desk, stream, &http::chunk(b"")).await?;
+        let line = changes_line(listener, delivered);
+        if line.version != delivered {
+            delivered = send_line(listener, stream, delivered, line).await?;
+        } else if heartbeat_due {
+            write(listener, stream, &http::chunk(b"")).await?;
         } else {
             continue;
         }
-        heartbeat_at = TokioInstant::now() + desk.heartbeat;
+        heartbeat_at = TokioInstant::now() + listener.heartbeat;
     }
 }
 
-fn after(desk: &Desk, since: u64) -> Line {
-    desk.views.known(desk.link.replica_region, desk.service, |catalog| catalog.after(since))
+fn changes_line(listener: &ReplicaListener, since: u64) -> Line {
+    listener
+        .lists
+        .read_in_region(listener.link.replica_region, listener.service, |catalog| catalog.changes_line(since))
 }
 
-/// Writes a line and returns the version that the copy has then.
-async fn tell(desk: &Desk, stream: &mut TcpStream, since: u64, line: Line) -> Result<u64, Closing> {
-    say(desk, stream, &http::chunk(&line.text)).await?;
-    let before = desk.told.fetch_max(line.version, Ordering::Relaxed);
-    if desk.carrier == Carrier::Real && since > 0 {
-        count_told(desk, since.max(before), line.version);
+/// Writes a line and returns the version that the balancer then has.
+async fn send_line(
+    listener: &ReplicaListener,
+    stream: &mut TcpStream,
+    since: u64,
+    line: Line,
+) -> Result<u64, CloseReason> {
+    write(listener, stream, &http::chunk(&line.text)).await?;
+    let before = listener.delivered_version.fetch_max(line.version, Ordering::Relaxed);
+    if listener.carrier == Carrier::Real && since > 0 {
+        record_delivery_delay(listener, since.max(before), line.version);
     }
     Ok(line.version)
 }
 
-/// A change is told to a real balancer once it has been written to it, be it to a process before this one. Hollow
-/// copies count what arrives.
-fn count_told(desk: &Desk, since: u64, version: u64) {
+/// Records how long changes took to be delivered. A change counts as delivered to a real balancer once it has
+/// been written to it, even to an earlier process of the same balancer. Hollow (simulated in-process)
+/// balancers measure the arrival themselves.
+fn record_delivery_delay(listener: &ReplicaListener, since: u64, version: u64) {
     let now = Instant::now();
-    let made: Vec<Instant> = desk.views.look(desk.service, |catalog| {
-        (since + 1..=version).filter_map(|version| catalog.made_at(version)).collect()
+    let published: Vec<Instant> = listener.lists.read(listener.service, |catalog| {
+        (since + 1..=version).filter_map(|version| catalog.published_at(version)).collect()
     });
-    let mut measured = desk.record.measured();
-    for made_at in made {
-        measured.list_delivery_us.add(now.saturating_duration_since(made_at));
+    let mut measured = listener.record.measured();
+    for published_at in published {
+        measured.list_delivery_us.add(now.saturating_duration_since(published_at));
     }
 }
--- a/scale/src/hollow/calls.rs
+++ b/scale/src/hollow/calls.rs
@@ -5,7 +5,7 @@
 use stilelead_decision::interface::{AttemptNumber, RequestId, UpstreamId};
 
 use super::connections::Connection;
-use crate::node::model::Fate;
+use crate::node::model::WorkOutcome;
 
 /// A class of calls.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -154,7 +154,7 @@
     /// How long its caller waits.
     pub deadline: Duration,
     /// How it ends, at the last hop.
-    pub fate: Fate,
+    pub fate: WorkOutcome,
     /// The request to the next service that it waits for.
     pub downstream: Option<RequestId>,
 }
--- a/scale/src/hollow/host/attempts.rs
+++ b/scale/src/hollow/host/attempts.rs
@@ -95,16 +95,16 @@
             return;
         }
         self.record.count_attempt(Carrier::Hollow, work.hop);
-        match self.nodes[node].model.arrive(self.now) {
-            Admission::Runs { until, fate } => {
+        match self.nodes[node].model.admit_request(self.now) {
+            Admission::Runs { ends_at: until, outcome: fate } => {
                 let run = Run { node, attempt: id, copy, work, deadline, fate, downstream: None };
                 self.accepted(run, until);
             }
-            Admission::TurnedAway => {
+            Admission::QueueFull => {
                 let load = self.load_report(copy, node);
                 self.end_attempt(id, Outcome::Refused, load);
             }
-            Admission::Fallen => self.node_falls(node),
+            Admission::Down => self.node_falls(node),
         }
     }
 
--- a/scale/src/hollow/host/lists.rs
+++ b/scale/src/hollow/host/lists.rs
@@ -108,7 +108,7 @@
         let Some(starts) = self.load_starts.filter(|_| !silent && version > before) else { return };
         let load_starts = self.zero + starts;
         let service = self.plan.topology.copies[copy].target;
-        let made = (before + 1..=version).filter_map(|version| self.control.made_at(service, version));
+        let made = (before + 1..=version).filter_map(|version| self.control.published_at(service, version));
         let mut measured = self.record.measured();
         for made_at in made.filter(|&made_at| made_at >= load_starts) {
             measured.list_delivery_us.add(told.saturating_duration_since(made_at));
--- a/scale/src/hollow/host/runs.rs
+++ b/scale/src/hollow/host/runs.rs
@@ -4,7 +4,7 @@
 
 use super::Host;
 use crate::hollow::calls::{Answer, Origin, RunId, Work};
-use crate::node::model::Fate;
+use crate::node::model::WorkOutcome;
 
 impl Host {
     /// A node is done with its own work for a request: it calls on, or answers.
@@ -18,9 +18,9 @@
             Some(work) => self.call_on(id, work),
             None => {
                 let outcome = match run.fate {
-                    Fate::Served => Outcome::Good,
-                    Fate::Error => Outcome::Error,
-                    Fate::Reset => Outcome::Reset,
+                    WorkOutcome::Served => Outcome::Good,
+                    WorkOutcome::Error => Outcome::Error,
+                    WorkOutcome::Reset => Outcome::Reset,
                 };
                 self.finish(id, outcome);
             }
--- a/scale/src/hollow/nodes.rs
+++ b/scale/src/hollow/nodes.rs
@@ -44,7 +44,7 @@
             return None;
         }
         self.open += 1;
-        self.model.connect(now);
+        self.model.add_connection(now);
         Some(Connection { node, life: self.life })
     }
 
--- a/scale/src/hollow/tests.rs
+++ b/scale/src/hollow/tests.rs
@@ -226,16 +226,17 @@
         test.control.stop_replica(replica);
     }
     test.until("all watches break", |test| test.fleet.watching() == 0).await;
-    test.control.change(ServiceId(1), endpoint(&test.topology, nodes[0], 1.5));
+    test.control.update_entry(ServiceId(1), endpoint(&test.topology, nodes[0], 1.5));
     test.fleet.begin_load(Instant::now());
-    test.control.change(ServiceId(1), endpoint(&test.topology, nodes[1], 2.0));
+    test.control.update_entry(ServiceId(1), endpoint(&test.topology, nodes[1], 2.0));
     for replica in 0..3 {
         test.control.start_replica(replica).await;
     }
     test.until("all copies are told", |test| test.fleet.watching() == 24).await;
     assert_eq!(test.told(), (8, 8));
     test.control.break_watches();
-    test.control.change(ServiceId(2), endpoint(&test.topology, test.topology.services[2].nodes[0], 2.0));
+    test.control
+        .update_entry(ServiceId(2), endpoint(&test.topology, test.topology.services[2].nodes[0], 2.0));
     test.until("the next change is told", |test| test.told().0 >= 16).await;
     test.until("all copies are told", |test| test.fleet.watching() == 24).await;
     assert_eq!(test.told(), (16, 16));
--- a/scale/src/node/onward.rs
+++ b/scale/src/node/balancer_client.rs
@@ -1,4 +1,4 @@
-//! Calls of nodes to the next service, through a balancer.
+//! HTTP client with which nodes call the next service through a balancer.
 
 use std::io;
 use std::net::SocketAddr;
@@ -18,80 +18,81 @@
 
 use super::request::Class;
 
-/// Bytes of an answer at most, as the protocol has it.
-const BODY_MOST: usize = 64 << 10;
-/// Connections that rest at most; more are closed after their call.
-const RESTING_MOST: usize = 256;
+/// Maximum size of a response body, as set by the protocol.
+const MAX_BODY_BYTES: usize = 64 << 10;
+/// Maximum number of idle connections; a connection beyond that is closed after its call.
+const MAX_IDLE_CONNECTIONS: usize = 256;
 
 /// Why a call was not served.
 #[derive(Debug, Error)]
-pub(super) enum OnwardError {
+pub(super) enum CallError {
     /// The balancer's address is not known.
     #[error("no balancer to call through")]
     NoBalancer,
-    /// The time is over.
+    /// The deadline has passed.
     #[error("out of time")]
-    Late,
-    /// The answer is no 200.
+    OutOfTime,
+    /// The response status is not 200.
     #[error("answered {0}")]
     Status(StatusCode),
-    /// No connection to the balancer.
+    /// The TCP connection to the balancer failed.
     #[error("no connection: {0}")]
     Connect(#[from] io::Error),
-    /// The connection broke.
+    /// The connection broke during the exchange.
     #[error("{0}")]
     Http(#[from] hyper::Error),
-    /// The answer's body broke or is too long.
+    /// The response body broke off or is too long.
     #[error("the body: {0}")]
     Body(#[from] Box<dyn std::error::Error + Send + Sync>),
 }
 
-/// What a call passes on.
+/// Parameters of a call to the next service.
 #[derive(Debug, Clone)]
-pub(super) struct OnwardCall {
+pub(super) struct NextCall {
     pub(super) class: Class,
     pub(super) hops: u32,
     pub(super) hop: u32,
     pub(super) tenant: Option<String>,
-    /// How long the node waits, if its caller said so.
-    pub(super) left: Option<Duration>,
+    /// Time until the deadline, if the caller set one.
+    pub(super) time_left: Option<Duration>,
 }
 
 type Sender = SendRequest<Empty<Bytes>>;
 
-/// The connections of nodes to one balancer: kept alive, one request at a time on each, more when all are busy.
+/// Keep-alive connections of all nodes to one balancer: one request at a time on each, and a new connection
+/// when all are busy.
 #[derive(Debug, Default)]
-pub(super) struct Onward {
+pub(super) struct BalancerClient {
     pool: Mutex<Pool>,
 }
 
 #[derive(Debug, Default)]
 struct Pool {
     address: Option<SocketAddr>,
-    resting: Vec<Sender>,
+    idle: Vec<Sender>,
 }
 
-impl Onward {
-    /// Where the balancer is from now on; connections to where it was are closed.
+impl BalancerClient {
+    /// Sets the balancer's address; idle connections to a previous address are closed.
     pub(super) fn set_address(&self, address: SocketAddr) {
         let mut pool = self.pool();
         if pool.address != Some(address) {
-            *pool = Pool { address: Some(address), resting: Vec::new() };
+            *pool = Pool { address: Some(address), idle: Vec::new() };
         }
     }
 
-    /// Calls the next service and waits for the whole answer.
+    /// Calls the next service and reads the whole response.
     ///
     /// # Errors
-    /// There is no answer of 200 in time.
-    pub(super) async fn call(&self, call: &OnwardCall, ids: &Ids) -> Result<(), OnwardError> {
-        let address = self.pool().address.ok_or(OnwardError::NoBalancer)?;
+    /// There is no 200 response before the deadline.
+    pub(super) async fn call(&self, call: &NextCall, ids: &RequestIds) -> Result<(), CallError> {
+        let address = self.pool().address.ok_or(CallError::NoBalancer)?;
         let request = request(address, call, &ids.next());
-        match call.left {
-            Some(left) if left.is_zero() => Err(OnwardError::Late),
-            Some(left) => {
-                timeout(left, self.exchange(address, call, request)).await.map_err(|_| OnwardError::Late)?
-            }
+        match call.time_left {
+            Some(time_left) if time_left.is_zero() => Err(CallError::OutOfTime),
+            Some(time_left) => timeout(time_left, self.exchange(address, call, request))
+                .await
+                .map_err(|_| CallError::OutOfTime)?,
             None => self.exchange(address, call, request).await,
         }
     }
@@ -99,24 +100,24 @@
     async fn exchange(
         &self,
         address: SocketAddr,
-        call: &OnwardCall,
+        call: &NextCall,
         request: Request<Empty<Bytes>>,
-    ) -> Result<(), OnwardError> {
-        while let Some(mut sender) = self.rested() {
+    ) -> Result<(), CallError> {
+        while let Some(mut sender) = self.take_idle() {
             if sender.ready().await.is_err() {
                 continue;
             }
             match self.send(address, sender, request.clone()).await {
-                // The balancer may have closed the connection just then. What it may have read is sent again only
-                // where that is harmless.
-                Err(OnwardError::Http(error)) if error.is_canceled() || call.class == Class::Read => break,
-                end => return end,
+                // The balancer may have closed the idle connection at this moment. A request that it may have
+                // read is repeated only if that is harmless.
+                Err(CallError::Http(error)) if error.is_canceled() || call.class == Class::Read => break,
+                result => return result,
             }
         }
         let stream = TcpStream::connect(address).await?;
         stream.set_nodelay(true)?;
         let (sender, connection) = http1::handshake(TokioIo::new(stream)).await?;
-        // Its errors are those of the calls on it.
+        // Connection errors are also reported to the calls on it.
         tokio::spawn(async move { drop(connection.await) });
         self.send(address, sender, request).await
     }
@@ -126,18 +127,18 @@
         address: SocketAddr,
         mut sender: Sender,
         request: Request<Empty<Bytes>>,
-    ) -> Result<(), OnwardError> {
+    ) -> Result<(), CallError> {
         let response = sender.send_request(request).await?;
         let status = response.status();
-        Limited::new(response.into_body(), BODY_MOST).collect().await?;
-        self.rest(address, sender);
-        if status == StatusCode::OK { Ok(()) } else { Err(OnwardError::Status(status)) }
+        Limited::new(response.into_body(), MAX_BODY_BYTES).collect().await?;
+        self.put_idle(address, sender);
+        if status == StatusCode::OK { Ok(()) } else { Err(CallError::Status(status)) }
     }
 
-    /// A connection that rests, the one used last.
-    fn rested(&self) -> Option<Sender> {
+    /// Takes the most recently used idle connection that is still open.
+    fn take_idle(&self) -> Option<Sender> {
         let mut pool = self.pool();
-        while let Some(sender) = pool.resting.pop() {
+        while let Some(sender) = pool.idle.pop() {
             if !sender.is_closed() {
                 return Some(sender);
             }
@@ -145,10 +146,10 @@
         None
     }
 
-    fn rest(&self, address: SocketAddr, sender: Sender) {
+    fn put_idle(&self, address: SocketAddr, sender: Sender) {
         let mut pool = self.pool();
-        if pool.address == Some(address) && pool.resting.len() < RESTING_MOST {
-            pool.resting.push(sender);
+        if pool.address == Some(address) && pool.idle.len() < MAX_IDLE_CONNECTIONS {
+            pool.idle.push(sender);
         }
     }
 
@@ -157,7 +158,7 @@
     }
 }
 
-fn request(address: SocketAddr, call: &OnwardCall, id: &str) -> Request<Empty<Bytes>> {
+fn request(address: SocketAddr, call: &NextCall, id: &str) -> Request<Empty<Bytes>> {
     let mut path = format!("/{}?hops={}&hop={}", call.class.name(), call.hops, call.hop);
     if let Some(tenant) = &call.tenant {
         path.push_str("&tenant=");
@@ -173,8 +174,8 @@
     };
     set(header::HOST, address.to_string());
     set(header::HeaderName::from_static("x-request-id"), id.to_owned());
-    if let Some(left) = call.left {
-        set(header::HeaderName::from_static("x-deadline"), format!("{:.6}", left.as_secs_f64()));
+    if let Some(time_left) = call.time_left {
+        set(header::HeaderName::from_static("x-deadline"), format!("{:.6}", time_left.as_secs_f64()));
     }
     if let Some(tenant) = &call.tenant {
         set(header::HeaderName::from_static("x-tenant"), tenant.clone());
@@ -182,16 +183,16 @@
     request
 }
 
-/// Fresh request ids: each number once, in an order that the seed settles.
+/// Generates request ids: each is unique, and the seed fixes their order.
 #[derive(Debug)]
-pub(super) struct Ids(AtomicU64);
+pub(super) struct RequestIds(AtomicU64);
 
-impl Ids {
+impl RequestIds {
     pub(super) fn new(seed: u64) -> Self {
         Self(AtomicU64::new(seed))
     }
 
-    /// The next id: a counter through the steps of splitmix64, which maps no two numbers to one.
+    /// Returns the next id: a counter mixed by splitmix64, which is a bijection, so that no id repeats.
     fn next(&self) -> String {
         const STEP: u64 = 0x9e37_79b9_7f4a_7c15;
         let mut mixed = self.0.fetch_add(STEP, Ordering::Relaxed);
--- a/scale/src/node/handler.rs
+++ b/scale/src/node/handler.rs
@@ -1,4 +1,4 @@
-//! What a node makes of a request.
+//! Handles one request at a node.
 
 use std::future::pending;
 use std::time::{Duration, Instant};
@@ -9,161 +9,171 @@
 use hyper::header::{CONNECTION, HeaderName, HeaderValue};
 use hyper::{Request, Response, StatusCode};
 
-use super::model::{Admission, Fate, Load};
-use super::onward::OnwardCall;
+use super::balancer_client::NextCall;
+use super::model::{Admission, Load, WorkOutcome};
 use super::request::{Class, NodeRequest, RequestError};
 use super::socket::{Connection, SocketNode};
 use super::state;
 use crate::topology::Carrier;
 
-/// Bytes of a request's body at most, as the protocol has it.
-const BODY_MOST: usize = 64 << 10;
-/// The body of an answer to a request that was served.
-const SERVED: &[u8] = b"served\n";
-const NOT_RUN: HeaderName = HeaderName::from_static("x-not-run");
-const LOAD: HeaderName = HeaderName::from_static("x-load");
-
-type Answer = Response<Full<Bytes>>;
-
-/// Answers one request. It does not end where there is no answer: the node is silent, or the connection reset.
-pub(super) async fn answer(node: &SocketNode, connection: &Connection, request: Request<Incoming>) -> Answer {
+/// Maximum size of a request body, as set by the protocol.
+const MAX_BODY_BYTES: usize = 64 << 10;
+/// Response body of a served request.
+const SERVED_BODY: &[u8] = b"served\n";
+const NOT_RUN_HEADER: HeaderName = HeaderName::from_static("x-not-run");
+const LOAD_HEADER: HeaderName = HeaderName::from_static("x-load");
+
+type NodeResponse = Response<Full<Bytes>>;
+
+/// Responds to one request. The future never completes if there is no response: the node is silent, or the
+/// connection is reset.
+pub(super) async fn respond(
+    node: &SocketNode,
+    connection: &Connection,
+    request: Request<Incoming>,
+) -> NodeResponse {
     let (head, body) = request.into_parts();
     let request = NodeRequest::read(&head);
-    if Limited::new(body, BODY_MOST).collect().await.is_err() {
-        return plain(StatusCode::BAD_REQUEST);
+    if Limited::new(body, MAX_BODY_BYTES).collect().await.is_err() {
+        return empty_response(StatusCode::BAD_REQUEST);
     }
-    // A request begins when its last byte has arrived.
+    // A request arrives when its last byte has been read.
     let arrived = Instant::now();
-    let answer = match request {
-        Err(RequestError::NoId) => plain(StatusCode::NOT_FOUND),
-        Err(RequestError::Malformed) => plain(StatusCode::BAD_REQUEST),
+    let response = match request {
+        Err(RequestError::NoId) => empty_response(StatusCode::NOT_FOUND),
+        Err(RequestError::Malformed) => empty_response(StatusCode::BAD_REQUEST),
         Ok(request) => {
             node.shared.record.count_attempt(Carrier::Real, request.hop);
-            not_silent(connection).await;
-            run(node, connection, &request, arrived).await
+            wait_until_responsive(connection).await;
+            run_request(node, connection, &request, arrived).await
         }
     };
-    not_silent(connection).await;
-    answer
+    wait_until_responsive(connection).await;
+    response
 }
 
-async fn not_silent(connection: &Connection) {
+async fn wait_until_responsive(connection: &Connection) {
     if connection.states.borrow().silent {
-        state::until(&mut connection.states.clone(), |state| !state.silent).await;
+        state::wait_until(&mut connection.states.clone(), |state| !state.silent).await;
     }
 }
 
-async fn run(node: &SocketNode, connection: &Connection, request: &NodeRequest, arrived: Instant) -> Answer {
+async fn run_request(
+    node: &SocketNode,
+    connection: &Connection,
+    request: &NodeRequest,
+    arrived: Instant,
+) -> NodeResponse {
     if connection.beyond_limit {
-        let mut answer = not_run(node);
-        answer.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
-        return answer;
+        let mut response = not_run_response(node);
+        response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
+        return response;
     }
     match admit(node) {
-        Admission::TurnedAway => not_run(node),
-        Admission::Fallen => pending().await,
-        Admission::Runs { until, fate } => {
-            count_run(node, request);
-            node.shared.alarm.until(node.shared.start + until).await;
+        Admission::QueueFull => not_run_response(node),
+        Admission::Down => pending().await,
+        Admission::Runs { ends_at, outcome } => {
+            record_order_run(node, request);
+            node.shared.timer.wait_until(node.shared.start + ends_at).await;
             if request.hops > 1 {
-                return call_on(node, request, arrived).await;
+                return call_next_service(node, request, arrived).await;
             }
-            end(node, connection, fate).await
+            finish(node, connection, outcome).await
         }
     }
 }
 
-/// Lets the request in, if the node bears it. A node that it pushes over is gone.
+/// Asks the model whether the node takes the request. A cold node that collapses under it is stopped.
 fn admit(node: &SocketNode) -> Admission {
     let now = node.now();
     let mut model = node.model();
-    let fell_before = model.fallen();
-    let admission = model.arrive(now);
-    let falls = model.fallen() && !fell_before;
+    let was_down = model.is_down();
+    let admission = model.admit_request(now);
+    let collapses = model.is_down() && !was_down;
     drop(model);
-    if falls {
+    if collapses {
         node.shared.record.measured().cold_falls += 1;
         node.stop();
     }
     admission
 }
 
-fn count_run(node: &SocketNode, request: &NodeRequest) {
+fn record_order_run(node: &SocketNode, request: &NodeRequest) {
     if request.class != Class::Order {
         return;
     }
-    let mut orders = node.shared.orders.lock().unwrap_or_else(std::sync::PoisonError::into_inner);
-    let again = orders.run(&request.id);
-    drop(orders);
-    if again {
+    let mut history = node.shared.order_history.lock().unwrap_or_else(std::sync::PoisonError::into_inner);
+    let repeated = history.record_run(&request.id);
+    drop(history);
+    if repeated {
         node.shared.record.measured().duplicated += 1;
     }
 }
 
-/// The end at the last hop.
-async fn end(node: &SocketNode, connection: &Connection, fate: Fate) -> Answer {
-    match fate {
-        Fate::Served => reported(node, StatusCode::OK, SERVED),
-        Fate::Error => reported(node, StatusCode::INTERNAL_SERVER_ERROR, b""),
-        Fate::Reset => {
+/// Finishes a request at its last hop.
+async fn finish(node: &SocketNode, connection: &Connection, outcome: WorkOutcome) -> NodeResponse {
+    match outcome {
+        WorkOutcome::Served => response_with_load(node, StatusCode::OK, SERVED_BODY),
+        WorkOutcome::Error => response_with_load(node, StatusCode::INTERNAL_SERVER_ERROR, b""),
+        WorkOutcome::Reset => {
             connection.reset.notify_one();
             pending().await
         }
     }
 }
 
-/// Calls the next service with the time that is left, and fails if that does.
-async fn call_on(node: &SocketNode, request: &NodeRequest, arrived: Instant) -> Answer {
-    let left = request.deadline.map(|deadline| deadline.saturating_sub(arrived.elapsed()));
-    let call = OnwardCall {
+/// Calls the next service with the remaining time; the response is a 500 if that call fails.
+async fn call_next_service(node: &SocketNode, request: &NodeRequest, arrived: Instant) -> NodeResponse {
+    let time_left = request.deadline.map(|deadline| deadline.saturating_sub(arrived.elapsed()));
+    let call = NextCall {
         class: request.class,
         hops: request.hops - 1,
         hop: request.hop.saturating_add(1),
         tenant: request.tenant.clone(),
-        left,
+        time_left,
     };
-    if left != Some(Duration::ZERO) {
+    if time_left != Some(Duration::ZERO) {
         node.shared.record.count_hop_call(Carrier::Real, call.hop);
     }
-    match node.onward.call(&call, &node.shared.ids).await {
-        Ok(()) => reported(node, StatusCode::OK, SERVED),
+    match node.next_balancer.call(&call, &node.shared.request_ids).await {
+        Ok(()) => response_with_load(node, StatusCode::OK, SERVED_BODY),
         Err(error) => {
             tracing::debug!(%error, hop = call.hop, "a call to the next service failed");
-            reported(node, StatusCode::INTERNAL_SERVER_ERROR, b"")
+            response_with_load(node, StatusCode::INTERNAL_SERVER_ERROR, b"")
         }
     }
 }
 
-fn not_run(node: &SocketNode) -> Answer {
-    let mut answer = reported(node, StatusCode::SERVICE_UNAVAILABLE, b"");
-    answer.headers_mut().insert(NOT_RUN, HeaderValue::from_static("1"));
-    answer
+fn not_run_response(node: &SocketNode) -> NodeResponse {
+    let mut response = response_with_load(node, StatusCode::SERVICE_UNAVAILABLE, b"");
+    response.headers_mut().insert(NOT_RUN_HEADER, HeaderValue::from_static("1"));
+    response
 }
 
-/// An answer with the load report on it, where there are any.
-fn reported(node: &SocketNode, status: StatusCode, body: &'static [u8]) -> Answer {
-    let mut answer = with_body(status, body);
+/// A response with the load report header, if load reports are enabled.
+fn response_with_load(node: &SocketNode, status: StatusCode, body: &'static [u8]) -> NodeResponse {
+    let mut response = response_with_body(status, body);
     if node.shared.load_reports {
         let now = node.now();
         let load = node.model().load(now);
         if let Ok(value) = HeaderValue::try_from(load_report(&load)) {
-            answer.headers_mut().insert(LOAD, value);
+            response.headers_mut().insert(LOAD_HEADER, value);
         }
     }
-    answer
+    response
 }
 
-/// The fields by the names that settings give them.
+/// The load report, with the field names that the settings define.
 fn load_report(load: &Load) -> String {
     format!("active={},waiting={},cpu={:.3}", load.active, load.waiting, load.utilization)
 }
 
-fn plain(status: StatusCode) -> Answer {
-    with_body(status, b"")
+fn empty_response(status: StatusCode) -> NodeResponse {
+    response_with_body(status, b"")
 }
 
-fn with_body(status: StatusCode, body: &'static [u8]) -> Answer {
-    let mut answer = Response::new(Full::new(Bytes::from_static(body)));
-    *answer.status_mut() = status;
-    answer
+fn response_with_body(status: StatusCode, body: &'static [u8]) -> NodeResponse {
+    let mut response = Response::new(Full::new(Bytes::from_static(body)));
+    *response.status_mut() = status;
+    response
 }
--- a/scale/src/node/mod.rs
+++ b/scale/src/node/mod.rs
@@ -1,10 +1,10 @@
-//! The stand-in nodes that balancers send to.
+//! Simulated service nodes, the upstreams of the balancers.
 
-mod alarm;
+mod balancer_client;
 mod handler;
 pub mod model;
-mod onward;
-mod orders;
+mod order_history;
+mod precise_timer;
 mod request;
 pub mod server;
 mod socket;
--- a/scale/src/node/model.rs
+++ b/scale/src/node/model.rs
@@ -1,13 +1,14 @@
-//! The model of a node without sockets or clock: cores, a queue, warm-up after a restart and the fall of a cold node.
+//! The model of a node without sockets or clock: cores, a queue, warm-up after a restart, and the collapse of
+//! a cold node that gets too many requests.
 //!
-//! Time is passed in, counted from the start of the run; a time before one already seen counts as that one. The
-//! end of a request's work is decided when it arrives. Work runs to its end whether or not its caller has given
-//! up, so nothing needs to be taken back: what has ended drops out as time passes.
+//! The caller passes the time, counted from the start of the run; a time earlier than the latest one counts
+//! as the latest. The end of a request's work is computed on arrival. Work is never cancelled, even if its
+//! caller has given up, so finished work simply expires as time advances.
 
-mod pressure;
+mod cold_overload;
 #[cfg(test)]
 mod tests;
-mod warmth;
+mod warm_up;
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -16,55 +17,55 @@
 use rand_chacha::ChaCha8Rng;
 
 use crate::scenario;
-use pressure::Pressure;
-use warmth::Warmth;
+use cold_overload::ColdOverload;
+use warm_up::WarmUp;
 
-/// Time over which utilization is averaged, in seconds.
-const UTILIZATION_OVER_S: f64 = 1.0;
-/// Part of a new request's work in the mean latency.
-const LATENCY_PART: f64 = 0.1;
+/// Time constant of the utilization average, in seconds.
+const UTILIZATION_WINDOW_S: f64 = 1.0;
+/// Weight of a new request's work in the moving average of the latency.
+const LATENCY_WEIGHT: f64 = 0.1;
 
-/// How a request that runs ends, where it goes no further. A node that calls the next service ignores it.
+/// How the work of a request ends at its last hop. A node that calls the next service ignores it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Fate {
+pub enum WorkOutcome {
     /// Answered with 200.
     Served,
     /// Answered with 500.
     Error,
-    /// The connection is reset under it.
+    /// The connection is reset before a response.
     Reset,
 }
 
-/// What becomes of a request that has arrived whole.
+/// Whether a node takes a request that has been fully received.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Admission {
-    /// It runs, or waits and then runs.
+    /// It runs, at once or after waiting in the queue.
     Runs {
-        /// When its work is done, waiting included, counted from the start of the run.
-        until: Duration,
-        /// How it ends.
-        fate: Fate,
+        /// When its work is done, including the wait, counted from the start of the run.
+        ends_at: Duration,
+        /// How the work ends.
+        outcome: WorkOutcome,
     },
-    /// The queue is full; it never runs.
-    TurnedAway,
-    /// The node has fallen, by this request or before, and stays down until it is restarted.
-    Fallen,
+    /// The queue is full; the request never runs.
+    QueueFull,
+    /// The node has collapsed, on this request or earlier, and stays down until it is restarted.
+    Down,
 }
 
 /// The figures of a load report.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Load {
-    /// Requests that cores work on.
+    /// Requests in work on a core.
     pub active: u32,
-    /// Requests that wait for a core.
+    /// Requests waiting for a core.
     pub waiting: u32,
     /// Share of the cores in use, averaged over about the last second.
     pub utilization: f64,
-    /// Mean time of the work of the latest requests, waiting not counted.
+    /// Moving average of the work time of recent requests, without queueing.
     pub latency: Duration,
 }
 
-/// A node of the model.
+/// The model of one node.
 #[derive(Debug)]
 pub struct NodeModel {
     work_s: f64,
@@ -72,23 +73,23 @@
     connect_s: f64,
     error_share: f64,
     reset_share: f64,
-    queue: usize,
+    queue_limit: usize,
     random: ChaCha8Rng,
-    warmth: Warmth,
-    pressure: Pressure,
-    /// When each core has done all that was given to it.
+    warm_up: WarmUp,
+    cold_overload: ColdOverload,
+    /// When each core has finished all work assigned to it.
     free_at: Vec<Duration>,
-    /// When each request begins that had to wait, in order; at most as many as the queue holds.
-    starts: VecDeque<Duration>,
-    /// The latest time that was seen.
-    seen: Duration,
+    /// When the work of each queued request starts, in order; at most as many as the queue holds.
+    waiting_starts: VecDeque<Duration>,
+    /// The latest time passed in.
+    latest_time: Duration,
     utilization: f64,
     latency_s: f64,
-    fallen: bool,
+    down: bool,
 }
 
 impl NodeModel {
-    /// A warm node with nothing to do. All its chance comes from `seed`.
+    /// Creates a warm, idle node. `seed` determines all its random draws.
     #[must_use]
     pub fn new(settings: &scenario::Node, seed: u64) -> Self {
         let cores = settings.cores.max(1);
@@ -99,105 +100,105 @@
             connect_s: settings.connect_ms / 1000.0,
             error_share: settings.error_share,
             reset_share: settings.reset_share,
-            queue: settings.queue as usize,
+            queue_limit: settings.queue as usize,
             random: ChaCha8Rng::seed_from_u64(seed),
-            warmth: Warmth::new(settings.cold_share, settings.cold_s),
-            pressure: Pressure::new(settings, f64::from(cores) / work_s),
+            warm_up: WarmUp::new(settings.cold_share, settings.cold_s),
+            cold_overload: ColdOverload::new(settings, f64::from(cores) / work_s),
             free_at: vec![Duration::ZERO; cores as usize],
-            starts: VecDeque::new(),
-            seen: Duration::ZERO,
+            waiting_starts: VecDeque::new(),
+            latest_time: Duration::ZERO,
             utilization: 0.0,
             latency_s: work_s,
-            fallen: false,
+            down: false,
         }
     }
 
-    /// The node starts anew: what it had is gone, and it is cold from now on.
+    /// Restarts the node: all its work is lost and it is cold from now on.
     pub fn restart(&mut self, now: Duration) {
-        self.pass(now);
-        self.warmth.start(self.seen);
-        self.pressure.clear();
-        self.free_at.fill(self.seen);
-        self.starts.clear();
+        self.advance(now);
+        self.warm_up.restart(self.latest_time);
+        self.cold_overload.clear();
+        self.free_at.fill(self.latest_time);
+        self.waiting_starts.clear();
         self.utilization = 0.0;
         self.latency_s = self.work_s;
-        self.fallen = false;
+        self.down = false;
     }
 
-    /// A request has arrived whole.
-    pub fn arrive(&mut self, now: Duration) -> Admission {
-        self.pass(now);
-        self.press();
-        if self.fallen {
-            return Admission::Fallen;
+    /// Admits a request that has been fully received.
+    pub fn admit_request(&mut self, now: Duration) -> Admission {
+        self.advance(now);
+        self.count_cold_request();
+        if self.down {
+            return Admission::Down;
         }
-        let (core, start) = self.next_free();
-        if start > self.seen {
-            if self.starts.len() >= self.queue {
-                return Admission::TurnedAway;
+        let (core, start) = self.first_free_core();
+        if start > self.latest_time {
+            if self.waiting_starts.len() >= self.queue_limit {
+                return Admission::QueueFull;
             }
-            self.starts.push_back(start);
+            self.waiting_starts.push_back(start);
         }
         let work_s = self.draw_work();
-        let until = self.warmth.end_of_work(start, work_s);
-        self.free_at[core] = until;
-        self.latency_s += ((until - start).as_secs_f64() - self.latency_s) * LATENCY_PART;
-        Admission::Runs { until, fate: self.draw_fate() }
+        let ends_at = self.warm_up.end_of_work(start, work_s);
+        self.free_at[core] = ends_at;
+        self.latency_s += ((ends_at - start).as_secs_f64() - self.latency_s) * LATENCY_WEIGHT;
+        Admission::Runs { ends_at, outcome: self.draw_outcome() }
     }
 
-    /// A connection was opened: a core is busy with it before it turns to what comes later.
-    pub fn connect(&mut self, now: Duration) {
-        self.pass(now);
-        let (core, start) = self.next_free();
-        self.free_at[core] = self.warmth.end_of_work(start, self.connect_s);
+    /// Adds a new connection: setting it up keeps a core busy before later work.
+    pub fn add_connection(&mut self, now: Duration) {
+        self.advance(now);
+        let (core, start) = self.first_free_core();
+        self.free_at[core] = self.warm_up.end_of_work(start, self.connect_s);
     }
 
-    /// The figures of a load report at this time.
+    /// Returns the load figures at this time.
     #[must_use]
     pub fn load(&self, now: Duration) -> Load {
-        let now = now.max(self.seen);
+        let now = now.max(self.latest_time);
         let active = self.free_at.iter().filter(|free_at| **free_at > now).count();
-        let begun = self.starts.partition_point(|start| *start <= now);
+        let started = self.waiting_starts.partition_point(|start| *start <= now);
         Load {
             active: u32::try_from(active).unwrap_or(u32::MAX),
-            waiting: u32::try_from(self.starts.len() - begun).unwrap_or(u32::MAX),
+            waiting: u32::try_from(self.waiting_starts.len() - started).unwrap_or(u32::MAX),
             utilization: self.utilization_at(now),
-            latency: warmth::duration(self.latency_s),
+            latency: warm_up::duration(self.latency_s),
         }
     }
 
-    /// Whether the node was pushed over while cold and has not been restarted since.
+    /// Whether the node collapsed while cold and has not been restarted since.
     #[must_use]
-    pub fn fallen(&self) -> bool {
-        self.fallen
+    pub fn is_down(&self) -> bool {
+        self.down
     }
 
-    /// Lets time pass up to `now`.
-    fn pass(&mut self, now: Duration) {
-        let now = now.max(self.seen);
+    /// Advances the time to `now`.
+    fn advance(&mut self, now: Duration) {
+        let now = now.max(self.latest_time);
         self.utilization = self.utilization_at(now);
-        let begun = self.starts.partition_point(|start| *start <= now);
-        self.starts.drain(..begun);
-        self.seen = now;
+        let started = self.waiting_starts.partition_point(|start| *start <= now);
+        self.waiting_starts.drain(..started);
+        self.latest_time = now;
     }
 
-    /// Counts a request against what a cold node bears.
-    fn press(&mut self) {
-        if self.warmth.is_warm(self.seen) {
-            self.pressure.clear();
-        } else if self.pressure.add(self.seen, self.warmth.speed(self.seen)) {
-            self.fallen = true;
+    /// Counts a request toward the limit of a cold node and takes the node down if it is exceeded.
+    fn count_cold_request(&mut self) {
+        if self.warm_up.is_warm(self.latest_time) {
+            self.cold_overload.clear();
+        } else if self.cold_overload.add(self.latest_time, self.warm_up.speed(self.latest_time)) {
+            self.down = true;
         }
     }
 
-    /// The core that is free first, and when it takes up work that comes now.
-    fn next_free(&self) -> (usize, Duration) {
+    /// The core that is free first, and when it can start new work.
+    fn first_free_core(&self) -> (usize, Duration) {
         let first = self.free_at.iter().copied().enumerate().min_by_key(|(_, free_at)| *free_at);
         let (core, free_at) = first.unwrap_or_default();
-        (core, free_at.max(self.seen))
+        (core, free_at.max(self.latest_time))
     }
 
-    /// The work of a request, in seconds at full speed.
+    /// Draws the work of a request, in seconds at full speed.
     fn draw_work(&mut self) -> f64 {
         if self.work_fixed {
             return self.work_s;
@@ -206,27 +207,28 @@
         -(1.0 - chance).ln() * self.work_s
     }
 
-    fn draw_fate(&mut self) -> Fate {
+    fn draw_outcome(&mut self) -> WorkOutcome {
         let chance: f64 = self.random.random();
         if chance < self.error_share {
-            Fate::Error
+            WorkOutcome::Error
         } else if chance < self.error_share + self.reset_share {
-            Fate::Reset
+            WorkOutcome::Reset
         } else {
-            Fate::Served
+            WorkOutcome::Served
         }
     }
 
-    /// No core gets work between the latest time seen and `now`, so each is busy from then until it is free.
+    /// No core is assigned work between the latest time and `now`, so each is busy from the former until it
+    /// is free.
     fn utilization_at(&self, now: Duration) -> f64 {
-        let passed_s = now.saturating_sub(self.seen).as_secs_f64();
-        if passed_s <= 0.0 {
+        let elapsed_s = now.saturating_sub(self.latest_time).as_secs_f64();
+        if elapsed_s <= 0.0 {
             return self.utilization;
         }
-        let busy = |free_at: &Duration| (*free_at).min(now).saturating_sub(self.seen).as_secs_f64();
+        let busy = |free_at: &Duration| (*free_at).min(now).saturating_sub(self.latest_time).as_secs_f64();
         let busy_s: f64 = self.free_at.iter().map(busy).sum();
-        let share = busy_s / (passed_s * self.free_at.len() as f64);
-        let kept = (-passed_s / UTILIZATION_OVER_S).exp();
-        share + (self.utilization - share) * kept
+        let share = busy_s / (elapsed_s * self.free_at.len() as f64);
+        let decay = (-elapsed_s / UTILIZATION_WINDOW_S).exp();
+        share + (self.utilization - share) * decay
     }
 }
--- a/scale/src/node/model/tests.rs
+++ b/scale/src/node/model/tests.rs
@@ -1,4 +1,4 @@
-//! The model of a node in simulated time.
+//! The node model in simulated time.
 
 use super::*;
 
@@ -10,9 +10,9 @@
     Duration::from_millis(milliseconds)
 }
 
-fn until(admission: Admission) -> Duration {
+fn ends_at(admission: Admission) -> Duration {
     match admission {
-        Admission::Runs { until, .. } => until,
+        Admission::Runs { ends_at, .. } => ends_at,
         other => panic!("does not run: {other:?}"),
     }
 }
@@ -20,7 +20,7 @@
 #[test]
 fn requests_run_side_by_side_on_the_cores_and_then_wait_their_turn() {
     let mut node = NodeModel::new(&settings(), 1);
-    let ends: Vec<_> = (0..5).map(|_| until(node.arrive(ms(0)))).collect();
+    let ends: Vec<_> = (0..5).map(|_| ends_at(node.admit_request(ms(0)))).collect();
     assert_eq!(ends, [ms(100), ms(100), ms(200), ms(200), ms(300)]);
     let load = node.load(ms(0));
     assert_eq!((load.active, load.waiting), (2, 3));
@@ -33,32 +33,32 @@
 fn a_request_beyond_the_queue_is_turned_away_until_a_place_is_free() {
     let mut node = NodeModel::new(&settings(), 1);
     for _ in 0..5 {
-        until(node.arrive(ms(0)));
+        ends_at(node.admit_request(ms(0)));
     }
-    assert_eq!(node.arrive(ms(99)), Admission::TurnedAway);
-    assert_eq!(until(node.arrive(ms(100))), ms(300));
+    assert_eq!(node.admit_request(ms(99)), Admission::QueueFull);
+    assert_eq!(ends_at(node.admit_request(ms(100))), ms(300));
 }
 
 #[test]
 fn without_a_queue_a_free_core_still_takes_a_request() {
     let mut node = NodeModel::new(&scenario::Node { queue: 0, cores: 1, ..settings() }, 1);
-    assert_eq!(until(node.arrive(ms(5))), ms(105));
-    assert_eq!(node.arrive(ms(50)), Admission::TurnedAway);
-    assert_eq!(until(node.arrive(ms(105))), ms(205));
+    assert_eq!(ends_at(node.admit_request(ms(5))), ms(105));
+    assert_eq!(node.admit_request(ms(50)), Admission::QueueFull);
+    assert_eq!(ends_at(node.admit_request(ms(105))), ms(205));
 }
 
 #[test]
 fn a_restarted_node_begins_slow_and_speeds_up_evenly() {
     let cold = scenario::Node { cores: 1, cold_share: 0.25, cold_s: 10.0, fall_multiple: 1e6, ..settings() };
     let mut node = NodeModel::new(&cold, 1);
-    assert_eq!(until(node.arrive(ms(0))), ms(100));
+    assert_eq!(ends_at(node.admit_request(ms(0))), ms(100));
     node.restart(ms(1000));
     // 0.25 t + 0.0375 t^2 = 0.1 at t = 0.37851 s.
-    assert_eq!(until(node.arrive(ms(1000))).as_micros(), 1_378_509);
-    // Half-way it works at 0.625 of its speed.
-    let took = until(node.arrive(ms(6000))) - ms(6000);
+    assert_eq!(ends_at(node.admit_request(ms(1000))).as_micros(), 1_378_509);
+    // Halfway through the warm-up it works at 0.625 of its speed.
+    let took = ends_at(node.admit_request(ms(6000))) - ms(6000);
     assert!(took > ms(158) && took < ms(160), "{took:?}");
-    assert_eq!(until(node.arrive(ms(11_000))), ms(11_100));
+    assert_eq!(ends_at(node.admit_request(ms(11_000))), ms(11_100));
 }
 
 #[test]
@@ -67,26 +67,27 @@
     let mut node = NodeModel::new(&cold, 1);
     node.restart(ms(0));
     // 1.5 s of work are done within the 2 s of warm-up.
-    assert_eq!(until(node.arrive(ms(0))), ms(2500));
+    assert_eq!(ends_at(node.admit_request(ms(0))), ms(2500));
 }
 
 #[test]
 fn a_cold_node_falls_on_the_first_request_beyond_its_budget_and_stays_down() {
-    // At the start 2 cores do 0.25 * 20 a second; 4 times that for 2 s makes 40, and chance 2 * sqrt(40) + 2.
+    // At the start 2 cores complete 0.25 * 20 requests per second; 4 times that over 2 s is 40, and the slack
+    // is 2 * sqrt(40) + 2.
     let cold =
         scenario::Node { cold_share: 0.25, cold_s: 1e6, fall_multiple: 4.0, fall_s: 2.0, ..settings() };
     let mut node = NodeModel::new(&cold, 1);
     node.restart(ms(0));
     for request in 0..54 {
-        assert_ne!(node.arrive(ms(request)), Admission::Fallen, "request {request}");
+        assert_ne!(node.admit_request(ms(request)), Admission::Down, "request {request}");
     }
-    assert!(!node.fallen());
-    assert_eq!(node.arrive(ms(60)), Admission::Fallen);
-    assert!(node.fallen());
-    assert_eq!(node.arrive(ms(60_000)), Admission::Fallen);
+    assert!(!node.is_down());
+    assert_eq!(node.admit_request(ms(60)), Admission::Down);
+    assert!(node.is_down());
+    assert_eq!(node.admit_request(ms(60_000)), Admission::Down);
     node.restart(ms(61_000));
-    assert!(!node.fallen());
-    assert_ne!(node.arrive(ms(61_000)), Admission::Fallen);
+    assert!(!node.is_down());
+    assert_ne!(node.admit_request(ms(61_000)), Admission::Down);
 }
 
 #[test]
@@ -95,28 +96,28 @@
         scenario::Node { cold_share: 0.25, cold_s: 1e6, fall_multiple: 4.0, fall_s: 2.0, ..settings() };
     let mut node = NodeModel::new(&cold, 1);
     node.restart(ms(0));
-    // 25 a second are 50 in any window, within the 54.6 that it bears.
+    // 25 per second are 50 in any window, within the limit of 54.6.
     for request in 0..5000 {
-        assert_ne!(node.arrive(ms(request * 40)), Admission::Fallen, "request {request}");
+        assert_ne!(node.admit_request(ms(request * 40)), Admission::Down, "request {request}");
     }
 }
 
 #[test]
 fn a_warm_node_turns_away_and_never_falls() {
     let mut node = NodeModel::new(&settings(), 1);
-    let turned_away = (0..5000).filter(|_| node.arrive(ms(1)) == Admission::TurnedAway).count();
-    assert_eq!(turned_away, 4995);
+    let rejected = (0..5000).filter(|_| node.admit_request(ms(1)) == Admission::QueueFull).count();
+    assert_eq!(rejected, 4995);
     node.restart(ms(2));
     let warm = ms(2) + Duration::from_secs_f64(settings().cold_s);
-    assert!((0..5000).all(|_| node.arrive(warm) != Admission::Fallen));
+    assert!((0..5000).all(|_| node.admit_request(warm) != Admission::Down));
 }
 
 #[test]
 fn a_connection_keeps_a_core_busy_before_the_request_on_it() {
     let connecting = scenario::Node { cores: 1, connect_ms: 20.0, ..settings() };
     let mut node = NodeModel::new(&connecting, 1);
-    node.connect(ms(0));
-    assert_eq!(until(node.arrive(ms(0))), ms(120));
+    node.add_connection(ms(0));
+    assert_eq!(ends_at(node.admit_request(ms(0))), ms(120));
 }
 
 #[test]
@@ -128,10 +129,10 @@
     let (mut errors, mut resets) = (0, 0);
     for request in 0..20_000 {
         let now = Duration::from_secs(request * 10);
-        let Admission::Runs { until, fate } = node.arrive(now) else { panic!("does not run") };
-        work += until - now;
-        errors += u32::from(fate == Fate::Error);
-        resets += u32::from(fate == Fate::Reset);
+        let Admission::Runs { ends_at, outcome } = node.admit_request(now) else { panic!("does not run") };
+        work += ends_at - now;
+        errors += u32::from(outcome == WorkOutcome::Error);
+        resets += u32::from(outcome == WorkOutcome::Reset);
     }
     let mean_s = work.as_secs_f64() / 20_000.0;
     assert!((0.097..0.103).contains(&mean_s), "{mean_s}");
@@ -144,7 +145,7 @@
     let drawn = scenario::Node { work_fixed: false, error_share: 0.5, ..settings() };
     let play = |seed| {
         let mut node = NodeModel::new(&drawn, seed);
-        (0..100).map(|request| node.arrive(ms(request * 30))).collect::<Vec<_>>()
+        (0..100).map(|request| node.admit_request(ms(request * 30))).collect::<Vec<_>>()
     };
     assert_eq!(play(3), play(3));
     assert_ne!(play(3), play(4));
@@ -153,8 +154,8 @@
 #[test]
 fn utilization_follows_the_share_of_busy_cores() {
     let mut node = NodeModel::new(&settings(), 1);
-    for turn in 0..100 {
-        until(node.arrive(ms(turn * 100)));
+    for request in 0..100 {
+        ends_at(node.admit_request(ms(request * 100)));
     }
     let busy = node.load(ms(10_000)).utilization;
     assert!((0.49..0.51).contains(&busy), "{busy}");
@@ -166,7 +167,7 @@
 #[test]
 fn time_that_goes_back_counts_as_the_latest_seen() {
     let mut node = NodeModel::new(&scenario::Node { cores: 1, ..settings() }, 1);
-    until(node.arrive(ms(500)));
-    assert_eq!(until(node.arrive(ms(400))), ms(700));
+    ends_at(node.admit_request(ms(500)));
+    assert_eq!(ends_at(node.admit_request(ms(400))), ms(700));
     assert_eq!(node.load(ms(400)).waiting, 1);
 }
--- /dev/null
+++ b/scale/src/node/order_history/tests.rs
@@ -0,0 +1,19 @@
+//! Repeated request ids and the bound on memory.
+
+use super::*;
+
+#[test]
+fn an_id_is_known_for_a_generation_and_memory_is_bounded() {
+    let mut history = OrderHistory::default();
+    assert!(!history.record_run("first"));
+    assert!(history.record_run("first"));
+    for number in 0..IDS_PER_GENERATION {
+        assert!(!history.record_run(&number.to_string()));
+    }
+    assert!(history.record_run("first"));
+    for number in 0..3 * IDS_PER_GENERATION {
+        history.record_run(&format!("more {number}"));
+    }
+    assert!(history.recent.len() + history.older.len() <= 2 * IDS_PER_GENERATION);
+    assert!(!history.record_run("first"));
+}
--- a/scale/src/node/alarm.rs
+++ b/scale/src/node/precise_timer.rs
@@ -1,7 +1,7 @@
-//! Waits that end within some tens of microseconds of their time.
+//! A timer that is accurate to some tens of microseconds.
 //!
-//! The runtime's own timer counts whole milliseconds, which is more than what a balancer adds to a call. One thread
-//! waits for all instead.
+//! The resolution of the runtime's timer is one millisecond, which is more than the latency that a balancer
+//! adds to a call. One thread serves all waits instead.
 
 #[cfg(test)]
 mod tests;
@@ -15,9 +15,9 @@
 
 use tokio::sync::oneshot;
 
-/// The thread that ends waits. Dropping it ends the thread; waits that are open then never end.
+/// The timer thread. Dropping this ends the thread; waits still pending then never complete.
 #[derive(Debug)]
-pub(super) struct Alarm {
+pub(super) struct PreciseTimer {
     shared: Arc<Shared>,
     thread: Option<JoinHandle<()>>,
 }
@@ -25,27 +25,27 @@
 #[derive(Debug, Default)]
 struct Shared {
     waits: Mutex<Waits>,
-    /// There is an earlier wait, or the thread is to end.
+    /// Notified when an earlier wait is added or the thread has to stop.
     changed: Condvar,
 }
 
 #[derive(Debug, Default)]
 struct Waits {
-    open: BinaryHeap<Wait>,
-    ended: bool,
+    pending: BinaryHeap<Wait>,
+    stopped: bool,
 }
 
 #[derive(Debug)]
 struct Wait {
     at: Instant,
-    over: oneshot::Sender<()>,
+    done: oneshot::Sender<()>,
 }
 
-impl Alarm {
+impl PreciseTimer {
     /// Starts the thread.
     ///
     /// # Errors
-    /// The system has no thread left.
+    /// The system cannot create a thread.
     pub(super) fn start() -> io::Result<Self> {
         let shared = Arc::new(Shared::default());
         let thread = thread::Builder::new().name("alarm".to_owned()).spawn({
@@ -55,25 +55,25 @@
         Ok(Self { shared, thread: Some(thread) })
     }
 
-    /// Waits until this time; not at all if it has come.
-    pub(super) async fn until(&self, at: Instant) {
+    /// Waits until this time; returns at once if it has passed.
+    pub(super) async fn wait_until(&self, at: Instant) {
         if at <= Instant::now() {
             return;
         }
-        let (over, waiting) = oneshot::channel();
-        self.shared.add(Wait { at, over });
+        let (done, waiting) = oneshot::channel();
+        self.shared.add(Wait { at, done });
         if waiting.await.is_err() {
             std::future::pending::<()>().await;
         }
     }
 }
 
-impl Drop for Alarm {
+impl Drop for PreciseTimer {
     fn drop(&mut self) {
-        self.shared.waits().ended = true;
+        self.shared.waits().stopped = true;
         self.shared.changed.notify_one();
         if let Some(thread) = self.thread.take() {
-            // It ends without a result, and a panic in it has been printed.
+            // The thread returns no result, and a panic in it has been printed.
             let _ = thread.join();
         }
     }
@@ -87,50 +87,50 @@
     fn add(&self, wait: Wait) {
         let at = wait.at;
         let mut waits = self.waits();
-        let first = waits.open.peek().is_none_or(|earliest| at < earliest.at);
-        waits.open.push(wait);
+        let is_earliest = waits.pending.peek().is_none_or(|earliest| at < earliest.at);
+        waits.pending.push(wait);
         drop(waits);
-        if first {
+        if is_earliest {
             self.changed.notify_one();
         }
     }
 
     fn run(&self) {
         let mut waits = self.waits();
-        while !waits.ended {
+        while !waits.stopped {
             let now = Instant::now();
             let due = waits.take_due(now);
             if !due.is_empty() {
                 drop(waits);
                 for wait in due {
-                    // Who waited may have gone.
-                    let _ = wait.over.send(());
+                    // The waiting task may have been dropped.
+                    let _ = wait.done.send(());
                 }
                 waits = self.waits();
                 continue;
             }
-            waits = match waits.open.peek().map(|earliest| earliest.at - now) {
+            waits = match waits.pending.peek().map(|earliest| earliest.at - now) {
                 None => self.changed.wait(waits).unwrap_or_else(PoisonError::into_inner),
                 Some(left) => {
                     self.changed.wait_timeout(waits, left).unwrap_or_else(PoisonError::into_inner).0
                 }
             };
         }
-        waits.open.clear();
+        waits.pending.clear();
     }
 }
 
 impl Waits {
     fn take_due(&mut self, now: Instant) -> Vec<Wait> {
         let mut due = Vec::new();
-        while self.open.peek().is_some_and(|earliest| earliest.at <= now) {
-            due.extend(self.open.pop());
+        while self.pending.peek().is_some_and(|earliest| earliest.at <= now) {
+            due.extend(self.pending.pop());
         }
         due
     }
 }
 
-/// The earliest wait is the greatest.
+/// Reversed, so that the earliest wait is at the top of the max-heap.
 impl Ord for Wait {
     fn cmp(&self, other: &Self) -> Ordering {
         other.at.cmp(&self.at)
--- a/scale/src/node/request.rs
+++ b/scale/src/node/request.rs
@@ -1,4 +1,4 @@
-//! The form of a request to a node.
+//! Parses the requests that a node receives.
 
 #[cfg(test)]
 mod tests;
@@ -13,13 +13,13 @@
 /// The class whose requests must not run twice.
 const ORDER: &str = "order";
 
-/// Why a request is no request.
+/// Why a request is rejected.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 pub(super) enum RequestError {
-    /// It has no id.
+    /// The request id is missing.
     #[error("no request id")]
     NoId,
-    /// Its query or a header makes no sense.
+    /// The query or a header cannot be parsed.
     #[error("malformed")]
     Malformed,
 }
@@ -27,14 +27,14 @@
 /// Whether a request may be repeated.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Class {
-    /// It may: `GET`.
+    /// Idempotent: `GET`.
     Read,
-    /// It must run once at most: `POST`.
+    /// Must run at most once: `POST`.
     Order,
 }
 
 impl Class {
-    /// The method of its requests.
+    /// The HTTP method of the class.
     pub(super) fn method(self) -> Method {
         match self {
             Self::Read => Method::GET,
@@ -42,7 +42,7 @@
         }
     }
 
-    /// Its name, the first part of the path.
+    /// The name of the class, which is the first path segment.
     pub(super) fn name(self) -> &'static str {
         match self {
             Self::Read => "read",
@@ -51,45 +51,45 @@
     }
 }
 
-/// A request as a node reads it.
+/// The parsed head of a request.
 #[derive(Debug, Clone)]
 pub(super) struct NodeRequest {
-    /// Its id.
+    /// The request id.
     pub(super) id: String,
-    /// Its class; any other than `order` may be repeated.
+    /// Any class other than `order` counts as idempotent.
     pub(super) class: Class,
-    /// Hops from here to the last node, with this one.
+    /// Remaining hops to the last node, including this one.
     pub(super) hops: u32,
-    /// This hop, counted from 1.
+    /// The number of this hop, counted from 1.
     pub(super) hop: u32,
-    /// The tenant, as the query names it.
+    /// The tenant, from the query.
     pub(super) tenant: Option<String>,
-    /// How long the caller waits, if it says so.
+    /// How long the caller waits, if it set a deadline.
     pub(super) deadline: Option<Duration>,
 }
 
 impl NodeRequest {
-    /// Reads the head of a request.
+    /// Parses the head of a request.
     ///
     /// # Errors
-    /// It has no id, or a part makes no sense.
+    /// The id is missing, or a part cannot be parsed.
     pub(super) fn read(head: &Parts) -> Result<Self, RequestError> {
-        let id = text(&head.headers, "x-request-id")?.ok_or(RequestError::NoId)?;
-        let deadline = text(&head.headers, "x-deadline")?.map(seconds).transpose()?;
+        let id = header_text(&head.headers, "x-request-id")?.ok_or(RequestError::NoId)?;
+        let deadline = header_text(&head.headers, "x-deadline")?.map(seconds).transpose()?;
         let query = head.uri.query().unwrap_or_default();
         let class = head.uri.path().trim_start_matches('/').split('/').next();
         Ok(Self {
             id: id.to_owned(),
             class: if class == Some(ORDER) { Class::Order } else { Class::Read },
-            hops: count(query, "hops")?,
-            hop: count(query, "hop")?,
-            tenant: named(query, "tenant").map(str::to_owned),
+            hops: count_parameter(query, "hops")?,
+            hop: count_parameter(query, "hop")?,
+            tenant: query_value(query, "tenant").map(str::to_owned),
             deadline,
         })
     }
 }
 
-fn text<'a>(headers: &'a HeaderMap, name: &str) -> Result<Option<&'a str>, RequestError> {
+fn header_text<'a>(headers: &'a HeaderMap, name: &str) -> Result<Option<&'a str>, RequestError> {
     headers.get(name).map(HeaderValue::to_str).transpose().map_err(|_| RequestError::Malformed)
 }
 
@@ -98,13 +98,13 @@
     Duration::try_from_secs_f64(seconds.max(0.0)).map_err(|_| RequestError::Malformed)
 }
 
-/// A count in the query, 1 if it is not there.
-fn count(query: &str, name: &str) -> Result<u32, RequestError> {
-    named(query, name).map_or(Ok(1), |value| value.parse().map_err(|_| RequestError::Malformed))
+/// A count in the query; 1 if it is missing.
+fn count_parameter(query: &str, name: &str) -> Result<u32, RequestError> {
+    query_value(query, name).map_or(Ok(1), |value| value.parse().map_err(|_| RequestError::Malformed))
 }
 
-/// A value in the query.
-fn named<'a>(query: &'a str, name: &str) -> Option<&'a str> {
+/// The value of a query parameter.
+fn query_value<'a>(query: &'a str, name: &str) -> Option<&'a str> {
     let mut parts = query.split('&').filter_map(|part| part.split_once('='));
     parts.find(|(key, _)| *key == name).map(|(_, value)| value)
 }
--- a/scale/src/node/request/tests.rs
+++ b/scale/src/node/request/tests.rs
@@ -1,4 +1,4 @@
-//! Heads of requests.
+//! Parsing of request heads.
 
 use hyper::Request;
 
@@ -34,6 +34,6 @@
         let read = read("/read", &[id, ("x-deadline", deadline)]);
         assert_eq!(read.unwrap_err(), RequestError::Malformed, "{deadline}");
     }
-    let over = read("/read", &[id, ("x-deadline", "-0.5")]).unwrap();
-    assert_eq!(over.deadline, Some(Duration::ZERO));
+    let past_deadline = read("/read", &[id, ("x-deadline", "-0.5")]).unwrap();
+    assert_eq!(past_deadline.deadline, Some(Duration::ZERO));
 }
--- a/scale/src/node/server.rs
+++ b/scale/src/node/server.rs
@@ -1,4 +1,4 @@
-//! All nodes with sockets of a run.
+//! All nodes of a run that have sockets.
 
 use std::io;
 use std::net::{Ipv4Addr, SocketAddr};
@@ -8,53 +8,53 @@
 use thiserror::Error;
 use tokio::task::JoinSet;
 
-use super::alarm::Alarm;
+use super::balancer_client::{BalancerClient, RequestIds};
 use super::model::NodeModel;
-use super::onward::{Ids, Onward};
-use super::orders::Orders;
+use super::order_history::OrderHistory;
+use super::precise_timer::PreciseTimer;
 use super::socket::{self, Shared, SocketNode};
 use crate::port::Port;
 use crate::record::Record;
 use crate::scenario::Scenario;
 use crate::topology::{Carrier, CopyId, Node, NodeId, Topology};
 
-/// Keeps the ids that nodes draw apart from what others draw from the same seed.
-const IDS_SEED: u64 = 0x6e6f_6465_2069_6473;
-/// Keeps the chance of one node apart from that of the next.
+/// Separates the request ids of the nodes from other draws from the same seed.
+const REQUEST_IDS_SEED: u64 = 0x6e6f_6465_2069_6473;
+/// Separates the random draws of one node from those of the next.
 const NODE_SEED: u64 = 0x9e37_79b9_7f4a_7c15;
 
 /// Why the nodes cannot start.
 #[derive(Debug, Error)]
 pub enum NodeError {
-    /// There is no port or descriptor left.
+    /// The system has no port or descriptor left.
     #[error("node {node} has no port: {cause}")]
     Port {
         /// The node's name.
         node: String,
-        /// What the system says.
+        /// The operating system's error.
         cause: io::Error,
     },
-    /// There is no thread left.
+    /// The system has no thread left for the timer.
     #[error("the nodes have no thread for their waits: {0}")]
     Thread(io::Error),
 }
 
-/// The nodes with sockets. Dropping the last handle ends them.
+/// The nodes with sockets. Dropping the last handle stops them.
 #[derive(Debug)]
 pub struct NodeServers {
-    /// By node; `None` for a modelled one.
+    /// Indexed by node; `None` for a node that is only modelled, without sockets.
     nodes: Vec<Option<Arc<SocketNode>>>,
-    /// By copy: the way through it to the next service.
-    onward: Vec<Arc<Onward>>,
-    /// What takes the connections; dropped with this.
+    /// Indexed by balancer: the client with which nodes call the next service through it.
+    balancers: Vec<Arc<BalancerClient>>,
+    /// The accept loops; dropped together with this.
     _listening: JoinSet<()>,
 }
 
 impl NodeServers {
-    /// Starts the nodes of all real services, warm.
+    /// Starts the nodes of all services with real balancers, warm.
     ///
     /// # Errors
-    /// No port, descriptor or thread is left.
+    /// The system has no port, descriptor or thread left.
     pub async fn start(
         scenario: &Scenario,
         topology: &Topology,
@@ -63,13 +63,13 @@
         let shared = Arc::new(Shared {
             start: Instant::now(),
             record,
-            alarm: Alarm::start().map_err(NodeError::Thread)?,
-            orders: Mutex::new(Orders::default()),
-            ids: Ids::new(scenario.seed ^ IDS_SEED),
+            timer: PreciseTimer::start().map_err(NodeError::Thread)?,
+            order_history: Mutex::new(OrderHistory::default()),
+            request_ids: RequestIds::new(scenario.seed ^ REQUEST_IDS_SEED),
             load_reports: scenario.node.load_reports,
-            connections: scenario.node.connections,
+            max_connections: scenario.node.connections,
         });
-        let onward: Vec<Arc<Onward>> = topology.copies.iter().map(|_| Arc::default()).collect();
+        let balancers: Vec<Arc<BalancerClient>> = topology.copies.iter().map(|_| Arc::default()).collect();
         let mut listening = JoinSet::new();
         let mut nodes = Vec::new();
         for (number, node) in topology.nodes.iter().enumerate() {
@@ -77,46 +77,46 @@
                 nodes.push(None);
                 continue;
             }
-            let port = open(node)?;
+            let port = open_port(node)?;
             let seed = scenario.seed.wrapping_add(NODE_SEED.wrapping_mul(number as u64 + 1));
             let model = NodeModel::new(&scenario.node, seed);
-            let through = onward[node.calls_through.0].clone();
-            let node = Arc::new(SocketNode::new(shared.clone(), port, through, model));
+            let next_balancer = balancers[node.calls_through.0].clone();
+            let node = Arc::new(SocketNode::new(shared.clone(), port, next_balancer, model));
             listening.spawn(socket::listen(node.clone()));
             nodes.push(Some(node));
         }
-        Ok(Arc::new(Self { nodes, onward, _listening: listening }))
+        Ok(Arc::new(Self { nodes, balancers, _listening: listening }))
     }
 
-    /// Where a node listens; port 0, where nothing does, for a modelled one.
+    /// The address of a node; port 0, where nothing listens, for a node without sockets.
     #[must_use]
     pub fn address(&self, node: NodeId) -> SocketAddr {
         self.node(node).map_or((Ipv4Addr::LOCALHOST, 0).into(), |node| node.port.address())
     }
 
-    /// Tells where a balancer listens through which nodes call.
+    /// Sets the address of a balancer through which nodes call the next service.
     pub fn set_balancer(&self, copy: CopyId, address: SocketAddr) {
-        if let Some(onward) = self.onward.get(copy.0) {
-            onward.set_address(address);
+        if let Some(balancer) = self.balancers.get(copy.0) {
+            balancer.set_address(address);
         }
     }
 
-    /// Lets a node hang: it takes connections and requests and answers nothing. What came meanwhile is worked on
-    /// when it no longer does, unless its caller is gone.
+    /// Makes a node hang or resume. A hanging node accepts connections and requests but answers nothing. It
+    /// works on the requests it received meanwhile once it resumes, unless their callers are gone.
     pub fn silence(&self, node: NodeId, silent: bool) {
         if let Some(node) = self.node(node) {
             node.silence(silent);
         }
     }
 
-    /// The process of a node is gone: its connections are reset and its port refuses.
+    /// Stops the process of a node: its connections are reset and its port refuses new ones.
     pub fn stop(&self, node: NodeId) {
         if let Some(node) = self.node(node) {
             node.stop();
         }
     }
 
-    /// A node starts anew on the same port, cold; one that runs is stopped first.
+    /// Starts a node again on the same port, cold; a running one is stopped first.
     pub async fn restart(&self, node: NodeId) {
         if let Some(node) = self.node(node) {
             node.restart();
@@ -129,6 +129,6 @@
     }
 }
 
-fn open(node: &Node) -> Result<Port, NodeError> {
+fn open_port(node: &Node) -> Result<Port, NodeError> {
     Port::open().map_err(|cause| NodeError::Port { node: node.name.clone(), cause })
 }
--- a/scale/src/node/socket.rs
+++ b/scale/src/node/socket.rs
@@ -1,4 +1,4 @@
-//! One node with sockets: its process, and what it shares with the other nodes of the run.
+//! One node with sockets: its simulated process, and what it shares with the other nodes of the run.
 
 use std::convert::Infallible;
 use std::sync::atomic::{AtomicU32, Ordering};
@@ -13,57 +13,69 @@
 use tokio::task::JoinSet;
 use tokio::time::sleep;
 
-use super::alarm::Alarm;
+use super::balancer_client::{BalancerClient, RequestIds};
 use super::handler;
 use super::model::NodeModel;
-use super::onward::{Ids, Onward};
-use super::orders::Orders;
+use super::order_history::OrderHistory;
+use super::precise_timer::PreciseTimer;
 use super::state::{self, NodeState};
 use crate::port::{self, Port};
 use crate::record::Record;
 
-/// Time before connections are taken again after the system refused one, say for want of descriptors.
-const ACCEPT_AGAIN: Duration = Duration::from_millis(20);
+/// Delay before the next accept after one failed, for example for lack of descriptors.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
 /// What all nodes of a run share.
 #[derive(Debug)]
 pub(super) struct Shared {
     pub(super) start: Instant,
     pub(super) record: Arc<Record>,
-    pub(super) alarm: Alarm,
-    pub(super) orders: Mutex<Orders>,
-    pub(super) ids: Ids,
+    pub(super) timer: PreciseTimer,
+    pub(super) order_history: Mutex<OrderHistory>,
+    pub(super) request_ids: RequestIds,
     pub(super) load_reports: bool,
-    /// Connections that a node holds.
-    pub(super) connections: u32,
+    /// Maximum open connections of one node.
+    pub(super) max_connections: u32,
 }
 
-/// A node.
+/// A node that serves HTTP on a loopback port.
 #[derive(Debug)]
 pub(super) struct SocketNode {
     pub(super) shared: Arc<Shared>,
     pub(super) port: Port,
-    pub(super) onward: Arc<Onward>,
+    pub(super) next_balancer: Arc<BalancerClient>,
     model: Mutex<NodeModel>,
     states: watch::Sender<NodeState>,
-    /// Open connections.
-    open: AtomicU32,
+    /// Number of open connections.
+    open_connections: AtomicU32,
 }
 
-/// A connection, as its requests see it.
+/// A connection, as the requests on it use it.
 #[derive(Debug)]
 pub(super) struct Connection {
-    /// The node holds as many as it can without this one.
+    /// The node had reached its connection limit before this one.
     pub(super) beyond_limit: bool,
-    /// Asks for a reset.
+    /// Requests a reset of the connection.
     pub(super) reset: Notify,
     pub(super) states: watch::Receiver<NodeState>,
 }
 
 impl SocketNode {
-    pub(super) fn new(shared: Arc<Shared>, port: Port, onward: Arc<Onward>, model: NodeModel) -> Self {
+    pub(super) fn new(
+        shared: Arc<Shared>,
+        port: Port,
+        next_balancer: Arc<BalancerClient>,
+        model: NodeModel,
+    ) -> Self {
         let states = watch::Sender::new(NodeState::RUNNING);
-        Self { shared, port, onward, model: Mutex::new(model), states, open: AtomicU32::new(0) }
+        Self {
+            shared,
+            port,
+            next_balancer,
+            model: Mutex::new(model),
+            states,
+            open_connections: AtomicU32::new(0),
+        }
     }
 
     /// The time since the start of the run.
@@ -75,24 +87,24 @@
         self.model.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// The process hangs or goes on.
+    /// Makes the process hang or resume.
     pub(super) fn silence(&self, silent: bool) {
         self.states.send_modify(|state| state.silent = silent);
     }
 
-    /// The process is gone: its connections are reset and its port refuses.
+    /// Stops the process: its connections are reset and its port refuses new ones.
     pub(super) fn stop(&self) {
         let stopped = self.states.send_if_modified(|state| {
-            let ran = state.runs;
-            *state = NodeState { runs: false, stops: state.stops + u64::from(ran), silent: false };
-            ran
+            let was_running = state.runs;
+            *state = NodeState { runs: false, stops: state.stops + u64::from(was_running), silent: false };
+            was_running
         });
-        if stopped && let Err(error) = self.port.shut() {
+        if stopped && let Err(error) = self.port.close() {
             tracing::error!(%error, "the port of a node cannot be shut");
         }
     }
 
-    /// A new process on the same port, cold.
+    /// Starts a new, cold process on the same port.
     pub(super) fn restart(&self) {
         self.stop();
         self.model().restart(self.now());
@@ -103,16 +115,16 @@
     }
 }
 
-/// Takes the connections of a node for ever, while it runs. Ended, it ends its connections.
+/// Accepts connections whenever the node runs; never returns. Dropping the future drops the connections.
 pub(super) async fn listen(node: Arc<SocketNode>) {
     let mut states = node.states.subscribe();
     let mut connections = JoinSet::new();
     loop {
-        state::until(&mut states, |state| state.runs).await;
+        state::wait_until(&mut states, |state| state.runs).await;
         let at_start = *states.borrow();
         tokio::select! {
             biased;
-            () = state::until(&mut states, |state| !state.same_process(at_start)) => {}
+            () = state::wait_until(&mut states, |state| !state.is_same_process(at_start)) => {}
             () = accept(&node, at_start, &mut connections) => {}
         }
     }
@@ -123,46 +135,48 @@
     loop {
         match port::accept(&listener).await {
             Ok(stream) => drop(connections.spawn(serve(node.clone(), at_start, stream))),
-            Err(_) => sleep(ACCEPT_AGAIN).await,
+            Err(_) => sleep(ACCEPT_RETRY_DELAY).await,
         }
         while connections.try_join_next().is_some() {}
     }
 }
 
-/// Serves a connection until it ends or is to be reset.
+/// Serves a connection until it ends or has to be reset.
 async fn serve(node: Arc<SocketNode>, at_start: NodeState, stream: TcpStream) {
-    let _place = Place::take(&node);
-    let beyond_limit = node.open.load(Ordering::Relaxed) > node.shared.connections;
+    let _slot = ConnectionSlot::take(&node);
+    let beyond_limit = node.open_connections.load(Ordering::Relaxed) > node.shared.max_connections;
     if !beyond_limit {
         let now = node.now();
-        node.model().connect(now);
+        node.model().add_connection(now);
     }
     let mut states = node.states.subscribe();
-    let shown = Connection { beyond_limit, reset: Notify::new(), states: states.clone() };
-    let answer =
-        service_fn(async |request| Ok::<_, Infallible>(handler::answer(&node, &shown, request).await));
-    let mut connection = http1::Builder::new().serve_connection(TokioIo::new(stream), answer);
+    let shared_connection = Connection { beyond_limit, reset: Notify::new(), states: states.clone() };
+    let service = service_fn(async |request| {
+        Ok::<_, Infallible>(handler::respond(&node, &shared_connection, request).await)
+    });
+    let mut connection = http1::Builder::new().serve_connection(TokioIo::new(stream), service);
     tokio::select! {
         biased;
-        () = state::until(&mut states, |state| !state.same_process(at_start)) => {}
-        () = shown.reset.notified() => {}
-        // Its error is that the peer is gone or makes no sense, and it is closed for that already.
+        () = state::wait_until(&mut states, |state| !state.is_same_process(at_start)) => {}
+        () = shared_connection.reset.notified() => {}
+        // An error here means that the peer is gone or sent malformed data; the connection is closed either
+        // way.
         _ = &mut connection => return,
     }
-    port::reset(connection.into_parts().io.into_inner());
+    port::close_with_reset(connection.into_parts().io.into_inner());
 }
 
-/// The place of an open connection, given up when dropped.
-struct Place<'a>(&'a AtomicU32);
+/// Counts one open connection until dropped.
+struct ConnectionSlot<'a>(&'a AtomicU32);
 
-impl<'a> Place<'a> {
+impl<'a> ConnectionSlot<'a> {
     fn take(node: &'a SocketNode) -> Self {
-        node.open.fetch_add(1, Ordering::Relaxed);
-        Self(&node.open)
+        node.open_connections.fetch_add(1, Ordering::Relaxed);
+        Self(&node.open_connections)
     }
 }
 
-impl Drop for Place<'_> {
+impl Drop for ConnectionSlot<'_> {
     fn drop(&mut self) {
         self.0.fetch_sub(1, Ordering::Relaxed);
     }
--- a/scale/src/port.rs
+++ b/scale/src/port.rs
@@ -1,4 +1,4 @@
-//! A port on loopback that can refuse connections for a while and take them again.
+//! A loopback port that can refuse connections for a while and then accept them again.
 
 use std::io;
 use std::net::{Ipv4Addr, Shutdown, SocketAddr};
@@ -8,10 +8,10 @@
 use socket2::{Domain, SockRef, Socket, Type};
 use tokio::net::{TcpListener, TcpStream};
 
-/// Connections that the system holds until they are accepted.
-const BACKLOG: i32 = 4096;
+/// Length of the operating system's queue of connections not yet accepted.
+const ACCEPT_BACKLOG: i32 = 4096;
 
-/// A port of this process. While it is shut, nothing else can take it.
+/// A port of this process. It stays reserved while it is closed.
 #[derive(Debug)]
 pub struct Port {
     listener: Mutex<Arc<TcpListener>>,
@@ -19,46 +19,46 @@
 }
 
 impl Port {
-    /// Takes a free port on 127.0.0.1 and listens on it.
+    /// Reserves a free port on 127.0.0.1 and listens on it.
     ///
     /// # Errors
-    /// The system has no socket or no port left.
+    /// The system has no socket or port left.
     pub fn open() -> io::Result<Self> {
-        // The system gives up a port that it chose itself as soon as nothing listens. So it is asked for a free
-        // one first, and that one is then bound by its number, before the first socket lets go of it.
-        let chosen = bound((Ipv4Addr::LOCALHOST, 0).into())?;
-        let address = local_address(&chosen)?;
-        let socket = bound(address)?;
-        drop(chosen);
-        Ok(Self { listener: Mutex::new(listening(socket)?), address })
+        // The system releases a port that it chose itself as soon as nothing listens on it. So the first
+        // socket only finds a free port, and the second binds it by number before the first is dropped.
+        let placeholder = bind_socket((Ipv4Addr::LOCALHOST, 0).into())?;
+        let address = local_address(&placeholder)?;
+        let socket = bind_socket(address)?;
+        drop(placeholder);
+        Ok(Self { listener: Mutex::new(start_listening(socket)?), address })
     }
 
-    /// Where it listens.
+    /// The address of the port.
     #[must_use]
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Refuses connections from now on; those that were not accepted yet are reset.
+    /// Refuses connections from now on; those not accepted yet are reset.
     ///
     /// # Errors
-    /// The port is shut already.
-    pub fn shut(&self) -> io::Result<()> {
+    /// The port is already closed.
+    pub fn close(&self) -> io::Result<()> {
         SockRef::from(&*self.listener()).shutdown(Shutdown::Both)
     }
 
-    /// Takes connections again, through a new listener.
+    /// Accepts connections again, through a new listener.
     ///
     /// # Errors
-    /// The system does not let it listen, or has no descriptor left.
+    /// The system does not let the socket listen, or has no descriptor left.
     pub fn reopen(&self) -> io::Result<()> {
-        // The runtime holds a listener that was shut for ready ever after, so the socket gets a new one.
+        // The runtime considers a listener ready forever after its shutdown, so the socket needs a new one.
         let socket = SockRef::from(&*self.listener()).try_clone()?;
-        *self.lock() = listening(socket)?;
+        *self.lock() = start_listening(socket)?;
         Ok(())
     }
 
-    /// What takes its connections up to the next time that it is shut.
+    /// The listener to accept on; valid until the port is closed the next time.
     #[must_use]
     pub fn listener(&self) -> Arc<TcpListener> {
         self.lock().clone()
@@ -69,10 +69,10 @@
     }
 }
 
-/// The next connection, with no delay of small writes.
+/// Accepts the next connection and disables Nagle's algorithm on it.
 ///
 /// # Errors
-/// The port is shut, or the process has no descriptor left.
+/// The port is closed, or the process has no descriptor left.
 pub async fn accept(listener: &TcpListener) -> io::Result<TcpStream> {
     let (stream, _) = listener.accept().await?;
     stream.set_nodelay(true)?;
@@ -80,12 +80,12 @@
 }
 
 /// Closes a connection with a reset.
-pub fn reset(stream: TcpStream) {
-    // Where this fails, the connection is gone already.
+pub fn close_with_reset(stream: TcpStream) {
+    // If this fails, the connection is already gone.
     let _ = SockRef::from(&stream).set_linger(Some(Duration::ZERO));
 }
 
-fn bound(address: SocketAddr) -> io::Result<Socket> {
+fn bind_socket(address: SocketAddr) -> io::Result<Socket> {
     let socket = Socket::new(Domain::IPV4, Type::STREAM, None)?;
     socket.set_reuse_port(true)?;
     socket.set_reuse_address(true)?;
@@ -93,8 +93,8 @@
     Ok(socket)
 }
 
-fn listening(socket: Socket) -> io::Result<Arc<TcpListener>> {
-    socket.listen(BACKLOG)?;
+fn start_listening(socket: Socket) -> io::Result<Arc<TcpListener>> {
+    socket.listen(ACCEPT_BACKLOG)?;
     socket.set_nonblocking(true)?;
     Ok(Arc::new(TcpListener::from_std(socket.into())?))
 }
--- a/scale/src/run/fleet.rs
+++ b/scale/src/run/fleet.rs
@@ -119,7 +119,11 @@
             .map(|service| self.control.list(ServiceId(service)).index)
             .collect();
         let copies = self.topology.copies.iter().enumerate();
-        copies.filter(|(number, copy)| self.control.told(CopyId(*number)) < versions[copy.target.0]).count()
+        copies
+            .filter(|(number, copy)| {
+                self.control.delivered_version(CopyId(*number)) < versions[copy.target.0]
+            })
+            .count()
     }
 
     /// Where the real balancers listen.
--- a/scale/src/run/lists.rs
+++ b/scale/src/run/lists.rs
@@ -101,7 +101,7 @@
 
     fn publish_entry(&self, service: ServiceId, entry: Endpoint) {
         let before = self.control.list(service).index;
-        if self.control.change(service, entry) != before {
+        if self.control.update_entry(service, entry) != before {
             self.record.measured().list_changes += 1;
         }
     }
--- a/scale/src/scenario/check.rs
+++ b/scale/src/scenario/check.rs
@@ -1,6 +1,6 @@
 //! Whether a scenario makes sense, before anything starts.
 
-use crate::faults::RESTART_S;
+use crate::faults::RESTART_INTERVAL_S;
 
 use super::load::{KeyError, Reason};
 use super::{Changes, Control, Depth, Fault, FaultKind, Fleet, Load, Node, Scenario};
@@ -163,7 +163,7 @@
         ends_in_time(&format!("{key}.count"), self.ends_s(), scenario.duration_s)?;
         let lasts = matches!(self.kind, FaultKind::RegionCut | FaultKind::ControlLost);
         unless(lasts && self.for_s == 0.0, &for_s, "a fault of this kind lasts some time")?;
-        let short = self.kind == FaultKind::Release && self.for_s < RESTART_S;
+        let short = self.kind == FaultKind::Release && self.for_s < RESTART_INTERVAL_S;
         unless(short, &for_s, "is shorter than one restart, 2.4 s")
     }
 
--- a/scale/tests/children.rs
+++ b/scale/tests/children.rs
@@ -1,4 +1,4 @@
-//! The program's children: whatever ends a run before its time, they end with it, and the partial report is written.
+//! However a run ends early, its child processes end with it and the partial report is written.
 
 use std::fs;
 use std::io::{BufRead, BufReader};
@@ -10,7 +10,7 @@
 use serde_json::Value;
 use tempfile::TempDir;
 
-/// Seconds of load: longer than what ends it takes.
+/// Duration of the load in seconds, longer than the test takes to end the run.
 const DURATION: &str = "duration_s=300";
 
 /// A run whose load has begun.
@@ -38,7 +38,7 @@
         running
     }
 
-    /// The log goes on being read, so that the program is not held up by it.
+    /// The log is read further in the background, so that the program does not block on a full pipe.
     fn wait_until_ready(&mut self) {
         let log = BufReader::new(self.program.stderr.take().expect("piped"));
         let mut lines = log.lines().map_while(Result::ok);
@@ -52,7 +52,8 @@
         std::thread::spawn(move || lines.for_each(drop));
     }
 
-    /// Waits for the program's end and tells its report. All children have ended by then.
+    /// Waits for the end of the program, checks that all children have ended, and returns the exit status and
+    /// the report.
     fn ended(mut self) -> (ExitStatus, Value) {
         let status = self.program.wait().expect("a child");
         for child in &self.children {
--- a/scale/tests/control.rs
+++ b/scale/tests/control.rs
@@ -1,4 +1,4 @@
-//! The stand-in control plane on loopback.
+//! The simulated control plane on loopback.
 
 use std::io;
 use std::sync::Arc;
@@ -14,11 +14,11 @@
 use tokio::time::timeout;
 
 const SERVICE: ServiceId = ServiceId(0);
-/// With three replicas and two regions: in region 0, as its replica is.
+/// With three replicas and two regions: a balancer in region 0, as is its replica.
 const HOME: CopyId = CopyId(0);
-/// In region 1, as its replica is.
+/// A balancer in region 1, as is its replica.
 const OTHER: CopyId = CopyId(1);
-/// In region 1, with its replica in region 0.
+/// A balancer in region 1 whose replica is in region 0.
 const ACROSS: CopyId = CopyId(3);
 
 async fn control(settings: &str) -> Arc<ControlPlane> {
@@ -44,7 +44,7 @@
     }
 }
 
-/// An answer whose head has been read.
+/// A response whose head has been read.
 struct Answer {
     status: u16,
     length: usize,
@@ -72,7 +72,7 @@
 }
 
 impl Answer {
-    /// A line without its end, of the head or of a chunk.
+    /// Reads a line of the head or of a chunk, without its line end.
     async fn line(&mut self) -> io::Result<String> {
         let mut line = String::new();
         match self.reader.read_line(&mut line).await? {
@@ -84,7 +84,7 @@
         }
     }
 
-    /// The next line of a watch; each is a chunk of its own.
+    /// Reads the next line of a watch; each line is a chunk of its own.
     async fn word(&mut self) -> io::Result<String> {
         self.line().await?;
         let word = self.line().await?;
@@ -92,7 +92,7 @@
         Ok(word)
     }
 
-    /// The next update of a watch; empty lines are passed over.
+    /// Reads the next update of a watch; empty lines (heartbeats) are skipped.
     async fn update(&mut self) -> Update {
         loop {
             let word = self.word().await.unwrap();
@@ -139,13 +139,13 @@
 async fn a_watch_resumes_from_a_version_and_beyond_the_history_from_the_whole_list() {
     let control = control("calls_per_s = 1e6\nhistory = 2").await;
     let first = control.set_list(SERVICE, vec![endpoint("a", "ready"), endpoint("b", "ready")]);
-    control.change(SERVICE, endpoint("b", "draining"));
-    let latest = control.change(SERVICE, endpoint("c", "ready"));
+    control.update_entry(SERVICE, endpoint("b", "draining"));
+    let latest = control.update_entry(SERVICE, endpoint("c", "ready"));
     let mut resumed = watch(&control, HOME, first).await;
     let update = resumed.update().await;
     assert_eq!((update.index, update.snapshot), (latest, false));
     assert_eq!(names(&update), ["b", "c"]);
-    control.change(SERVICE, endpoint("a", "gone"));
+    control.update_entry(SERVICE, endpoint("a", "gone"));
     let update = resumed.update().await;
     assert_eq!((names(&update), update.snapshot), (vec!["a"], false));
     let update = watch(&control, HOME, first).await.update().await;
@@ -186,7 +186,7 @@
     };
     assert_eq!(broken.kind(), io::ErrorKind::ConnectionReset);
     assert_eq!(control.address(HOME), address);
-    control.change(SERVICE, endpoint("b", "ready"));
+    control.update_entry(SERVICE, endpoint("b", "ready"));
     assert_eq!(names(&watch(&control, HOME, first).await.update().await), ["b"]);
 }
 
@@ -199,11 +199,11 @@
     across.update().await;
     home.update().await;
     control.cut_region(RegionId(1));
-    control.change(SERVICE, endpoint("b", "ready"));
+    control.update_entry(SERVICE, endpoint("b", "ready"));
     assert_eq!(names(&home.update().await), ["b"]);
-    // What was said before the cut may still be under way.
+    // Bytes written before the cut may still be in flight.
     let before = control.usage(ACROSS).bytes;
-    control.change(SERVICE, endpoint("c", "ready"));
+    control.update_entry(SERVICE, endpoint("c", "ready"));
     assert_eq!(names(&home.update().await), ["c"]);
     assert_eq!(home.word().await.unwrap(), "");
     assert_eq!(home.word().await.unwrap(), "");
@@ -217,7 +217,7 @@
     let control = control("calls_per_s = 1e6").await;
     let old = control.set_list(SERVICE, vec![endpoint("a", "ready")]);
     control.cut_region(RegionId(1));
-    let new = control.change(SERVICE, endpoint("b", "ready"));
+    let new = control.update_entry(SERVICE, endpoint("b", "ready"));
     assert_eq!(list(&control, OTHER).await.index, old);
     assert_eq!(list(&control, HOME).await.index, new);
     let mut watch = watch(&control, OTHER, old).await;
@@ -232,7 +232,8 @@
     let control = control("calls_per_s = 1e6").await;
     control.cut_region(RegionId(1));
     let mut stream = TcpStream::connect(control.address(ACROSS)).await.unwrap();
-    // The own replica of the region has taken a call meanwhile, as the listeners take turns on one thread.
+    // The listeners take turns on one thread, so the connection above has been accepted once the replica of
+    // the region has answered this call.
     list(&control, OTHER).await;
     control.rejoin_region(RegionId(1));
     let error = stream.read(&mut [0]).await.unwrap_err();
@@ -252,7 +253,7 @@
             tokio::task::yield_now().await;
         }
     }
-    // Answered in its turn it would be hours later.
+    // Without the rejection, the answer would take hours.
     let refused = timeout(Duration::from_secs(60), call(&control, OTHER, "")).await.unwrap().unwrap();
     assert_eq!(refused.status, 503);
     assert_eq!((control.usage(OTHER).rejected_calls, control.usage(HOME).rejected_calls), (1, 0));
--- a/scale/tests/nodes.rs
+++ b/scale/tests/nodes.rs
@@ -1,4 +1,4 @@
-//! The stand-in nodes on loopback.
+//! The simulated nodes on loopback.
 
 use std::io;
 use std::net::SocketAddr;
@@ -16,13 +16,13 @@
 use tokio::io::{AsyncBufReadExt, AsyncWriteExt, BufReader};
 use tokio::net::{TcpListener, TcpStream};
 
-/// Of the first of two services; calls through [`SECOND_BALANCER`].
+/// Node of the first of two services; it calls the next one through [`SECOND_BALANCER`].
 const FIRST: NodeId = NodeId(0);
-/// Of the second service.
+/// Node of the second service.
 const SECOND: NodeId = NodeId(1);
 const SECOND_BALANCER: CopyId = CopyId(1);
 
-/// Two services with one node each. Work takes 10 us.
+/// Starts two services with one node each, whose work takes 10 us.
 async fn nodes(settings: &str) -> (Arc<NodeServers>, Arc<Record>) {
     start(&format!("work_ms = 0.01\n{settings}")).await
 }
@@ -117,14 +117,14 @@
 #[tokio::test]
 async fn a_deep_call_goes_through_to_the_last_node() {
     let (nodes, record) = nodes("").await;
-    // In each balancer's place is a node of its service.
+    // A node of the same service takes the place of each balancer.
     nodes.set_balancer(SECOND_BALANCER, nodes.address(SECOND));
     nodes.set_balancer(CopyId(0), nodes.address(FIRST));
     let served = get(nodes.address(FIRST), "/read?hops=27&hop=1", "a").await.unwrap();
     assert_eq!(served.status, StatusCode::OK);
     let measured = record.measured();
     assert!((1..=27).all(|hop| measured.attempts[0][&hop] == 1));
-    // The first hop is counted where clients call.
+    // Calls at the first hop are counted by the clients.
     assert_eq!(measured.hop_calls[0].keys().copied().collect::<Vec<_>>(), (2..=27).collect::<Vec<_>>());
 }
 
@@ -134,11 +134,11 @@
     nodes.set_balancer(SECOND_BALANCER, nodes.address(SECOND));
     let failed = get(nodes.address(FIRST), "/read?hops=2&hop=1", "a").await.unwrap();
     assert_eq!(failed.status, StatusCode::INTERNAL_SERVER_ERROR);
-    // The first node went on although its own draw was an error.
+    // The first node called the next service although its own drawn outcome was an error.
     assert_eq!(attempts(&record), 2);
 }
 
-/// Reads the head of a request; its lines are lower case, the first one first.
+/// Reads the head of a request; returns its lines in lower case, the request line first.
 async fn head(stream: &mut BufReader<TcpStream>) -> Vec<String> {
     let mut lines = Vec::new();
     loop {
@@ -151,7 +151,7 @@
     }
 }
 
-/// Reads the head of a request and answers it.
+/// Reads the head of a request and sends a response.
 async fn balance(stream: &mut BufReader<TcpStream>, status: &str) -> Vec<String> {
     let lines = head(stream).await;
     let answer = format!("HTTP/1.1 {status}\r\nContent-Length: 0\r\n\r\n");
@@ -229,7 +229,7 @@
 
 #[tokio::test]
 async fn a_stopped_node_refuses_and_comes_back_cold_on_the_same_port() {
-    // A cold node bears two requests, a warm one any number.
+    // A cold node takes two requests, a warm one any number.
     let (nodes, record) = nodes("fall_multiple = 0.0\nfall_s = 1e5\ncold_s = 1e6\ncold_share = 1.0").await;
     let address = nodes.address(FIRST);
     let mut warm = connect(address).await.unwrap();
@@ -268,7 +268,7 @@
 
 #[tokio::test]
 async fn a_request_beyond_the_queue_has_not_run() {
-    // The first request holds the only core for good.
+    // The first request occupies the only core for the rest of the test.
     let (nodes, record) = start("work_ms = 1e9\ncores = 1\nqueue = 0\nconnect_ms = 0.0").await;
     let address = nodes.address(FIRST);
     let running = tokio::spawn(get(address, "/order", "a"));
