--- a/scale/src/control/catalog/tests.rs
+++ b/scale/src/control/catalog/tests.rs
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn a_watcher_is_told_what_changed_after_its_version_once_for_each_entry() {
+fn a_watcher_gets_each_entry_that_changed_after_its_version_once() {
     let mut catalog = Catalog::new(10);
     let now = Instant::now();
     let since = catalog.set_list(vec![endpoint("a", "ready"), endpoint("b", "ready")], now);
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn a_watcher_that_has_everything_is_told_of_no_change() {
+fn an_up_to_date_watcher_gets_no_changes() {
     let mut catalog = Catalog::new(10);
     let version = catalog.set_list(vec![endpoint("a", "ready")], Instant::now());
     let update = read(&catalog.changes_line(version));
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn beyond_the_history_and_from_nothing_or_the_future_the_whole_list_is_told() {
+fn versions_of_zero_in_the_future_or_older_than_the_history_get_the_whole_list() {
     let mut catalog = Catalog::new(2);
     let now = Instant::now();
     for name in ["a", "b", "c", "d"] {
@@ -67,7 +67,7 @@
 }
 
 #[test]
-fn setting_a_list_publishes_what_differs_and_nothing_if_nothing_does() {
+fn setting_a_list_publishes_only_the_differences() {
     let mut catalog = Catalog::new(10);
     let now = Instant::now();
     let first = catalog.set_list(vec![endpoint("a", "ready"), endpoint("b", "ready")], now);
@@ -79,7 +79,7 @@
 }
 
 #[test]
-fn texts_are_made_anew_when_the_list_has_changed() {
+fn cached_lines_are_rebuilt_after_a_list_change() {
     let mut catalog = Catalog::new(10);
     let now = Instant::now();
     let first = catalog.update_entry(endpoint("a", "ready"), now);
--- a/scale/src/control/http.rs
+++ b/scale/src/control/http.rs
@@ -42,10 +42,10 @@
     #[error("the connection ended: {0}")]
     Closed(#[from] io::Error),
     /// The request head is too long or cannot be parsed.
-    #[error("a malformed request")]
+    #[error("malformed request")]
     Malformed,
     /// The peer does not read its responses.
-    #[error("the peer does not read")]
+    #[error("the peer does not read its responses")]
     Slow,
 }
 
--- a/scale/src/control/http/tests.rs
+++ b/scale/src/control/http/tests.rs
@@ -9,7 +9,7 @@
 }
 
 #[tokio::test]
-async fn calls_are_told_apart_by_method_path_and_query() {
+async fn calls_are_parsed_from_method_path_and_query() {
     let calls: [(&str, Call); 6] = [
         ("GET /catalog/members HTTP/1.1\r\n\r\n", Call::List),
         ("GET /catalog/members?follow=0 HTTP/1.1\r\n\r\n", Call::List),
@@ -24,7 +24,7 @@
 }
 
 #[tokio::test]
-async fn requests_come_in_pieces_or_several_at_once() {
+async fn requests_may_arrive_in_parts_or_several_at_once() {
     let (mut client, mut server) = duplex(1);
     let text = b"GET /catalog/members HTTP/1.1\r\n\r\nGET /catalog/members?follow=1&since=7 HTTP/1.1\r\n\r\n";
     let sent = tokio::spawn(async move { client.write_all(text).await });
@@ -36,7 +36,7 @@
 }
 
 #[tokio::test]
-async fn a_request_without_sense_or_end_is_malformed() {
+async fn an_unparsable_or_endless_request_is_malformed() {
     let endless = [b'x'; 2 * MAX_HEAD_BYTES];
     for text in [
         &b"\r\n\r\n"[..],
@@ -49,7 +49,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_peer_that_does_not_read_is_given_up_and_what_it_took_is_counted() {
+async fn writing_to_a_peer_that_does_not_read_times_out_and_counts_the_written_bytes() {
     let (mut client, _server) = duplex(64);
     let written = AtomicU64::new(0);
     assert!(matches!(write(&mut client, &[0; 100], &written).await, Err(HttpError::Slow)));
--- a/scale/src/control/mod.rs
+++ b/scale/src/control/mod.rs
@@ -35,10 +35,10 @@
 #[derive(Debug, Error)]
 pub enum ControlError {
     /// The system has no port or descriptor left.
-    #[error("control has no port for copy {copy}: {cause}")]
+    #[error("cannot open a control port for balancer {balancer}: {cause}")]
     Port {
         /// The balancer's name.
-        copy: String,
+        balancer: String,
         /// The operating system's error.
         cause: io::Error,
     },
@@ -76,19 +76,20 @@
             tasks: tokio::task::JoinSet::new(),
         };
         let heartbeat = Duration::try_from_secs_f64(settings.heartbeat_s).unwrap_or(MIN_HEARTBEAT);
-        for (number, copy) in topology.copies.iter().enumerate() {
+        for (number, balancer) in topology.copies.iter().enumerate() {
             let replica = number % replicas;
-            let port = Port::open().map_err(|cause| ControlError::Port { copy: copy.name.clone(), cause })?;
+            let port = Port::open()
+                .map_err(|cause| ControlError::Port { balancer: balancer.name.clone(), cause })?;
             let link = Link {
                 replica,
                 replica_region: RegionId(replica as u32 % topology.regions.max(1)),
-                copy_region: topology.region(copy.zone),
+                balancer_region: topology.region(balancer.zone),
             };
             let listener = Arc::new(ReplicaListener {
                 port,
                 link,
-                service: copy.target,
-                carrier: copy.carrier,
+                service: balancer.target,
+                carrier: balancer.carrier,
                 counters: Counters::default(),
                 delivered_version: AtomicU64::default(),
                 call_queue: control.call_queues[replica].clone(),
@@ -105,8 +106,8 @@
 
     /// The address at which a balancer reaches its control replica.
     #[must_use]
-    pub fn address(&self, copy: CopyId) -> SocketAddr {
-        self.listeners[copy.0].port.address()
+    pub fn address(&self, balancer: CopyId) -> SocketAddr {
+        self.listeners[balancer.0].port.address()
     }
 
     /// Replaces the list of a service, publishes the differences and returns the version.
@@ -139,7 +140,7 @@
         }
         for listener in self.listeners_of(replica) {
             if let Err(error) = listener.port.close() {
-                tracing::error!(%error, replica, "a port of control cannot be shut");
+                tracing::error!(%error, replica, "cannot close a port of a control replica");
             }
         }
     }
@@ -153,7 +154,7 @@
         call_queue.lock().unwrap_or_else(PoisonError::into_inner).clear();
         for listener in self.listeners_of(replica) {
             if let Err(error) = listener.port.reopen() {
-                tracing::error!(%error, replica, "a port of control cannot be opened again");
+                tracing::error!(%error, replica, "cannot reopen a port of a control replica");
             }
         }
         self.set_running(replica, true);
@@ -180,14 +181,14 @@
     /// The latest version of its list that a balancer has: written to it, or the one from which its watch
     /// resumed.
     #[must_use]
-    pub fn delivered_version(&self, copy: CopyId) -> u64 {
-        self.listeners[copy.0].delivered_version.load(Ordering::Relaxed)
+    pub fn delivered_version(&self, balancer: CopyId) -> u64 {
+        self.listeners[balancer.0].delivered_version.load(Ordering::Relaxed)
     }
 
     /// The control traffic of a balancer so far.
     #[must_use]
-    pub fn usage(&self, copy: CopyId) -> ControlUsage {
-        self.listeners[copy.0].counters.usage()
+    pub fn usage(&self, balancer: CopyId) -> ControlUsage {
+        self.listeners[balancer.0].counters.usage()
     }
 
     /// Marks a replica as running or stopped; `false` if it does not exist or is already in that state.
--- a/scale/src/control/replica.rs
+++ b/scale/src/control/replica.rs
@@ -81,10 +81,10 @@
     let mut connections = JoinSet::new();
     loop {
         state::wait_until(&mut states, |state| state.replicas[replica].runs).await;
-        let at_start = states.borrow().replicas[replica];
+        let start_state = states.borrow().replicas[replica];
         tokio::select! {
             biased;
-            () = state::wait_until(&mut states, |state| state.replicas[replica] != at_start) => {}
+            () = state::wait_until(&mut states, |state| state.replicas[replica] != start_state) => {}
             () = accept(&listener, &mut connections) => {}
         }
     }
@@ -105,10 +105,12 @@
 async fn serve(listener: Arc<ReplicaListener>, mut stream: TcpStream) {
     let mut states = listener.states.subscribe();
     let replica = listener.link.replica;
-    let at_start = states.borrow().replicas[replica];
+    let start_state = states.borrow().replicas[replica];
     let reason = tokio::select! {
         biased;
-        () = state::wait_until(&mut states, |state| !at_start.runs || state.replicas[replica] != at_start) => CloseReason::Reset,
+        () = state::wait_until(&mut states, |state| {
+            !start_state.runs || state.replicas[replica] != start_state
+        }) => CloseReason::Reset,
         reason = serve_calls(&listener, &mut stream) => reason,
     };
     if matches!(reason, CloseReason::Reset) {
--- a/scale/src/control/state.rs
+++ b/scale/src/control/state.rs
@@ -32,7 +32,7 @@
 pub(super) struct Link {
     pub(super) replica: usize,
     pub(super) replica_region: RegionId,
-    pub(super) copy_region: RegionId,
+    pub(super) balancer_region: RegionId,
 }
 
 impl ControlState {
@@ -43,8 +43,8 @@
 
     /// Whether the balancer and its replica can reach each other.
     pub(super) fn is_connected(&self, link: Link) -> bool {
-        link.copy_region == link.replica_region
-            || ![link.copy_region, link.replica_region].iter().any(|region| self.cut_off.contains(region))
+        link.balancer_region == link.replica_region
+            || ![link.balancer_region, link.replica_region].iter().any(|region| self.cut_off.contains(region))
     }
 }
 
--- a/scale/src/faults.rs
+++ b/scale/src/faults.rs
@@ -40,7 +40,7 @@
     }
 }
 
-/// The time from the begin to the end of a fault.
+/// When a fault starts and ends.
 #[must_use]
 pub fn span(fault: &Fault) -> FaultSpan {
     FaultSpan { kind: fault.kind, at_s: fault.at_s, ends_s: fault.ends_s() }
@@ -152,8 +152,8 @@
     let in_region = |zone| topology.region(zone) == region;
     let mut nodes = Vec::new();
     for service in topology.services.iter().filter(|service| service.carrier == Carrier::Real) {
-        for copy in &service.copies {
-            let balancer_inside = in_region(topology.copies[copy.0].zone);
+        for balancer in &service.copies {
+            let balancer_inside = in_region(topology.copies[balancer.0].zone);
             nodes.extend(
                 service.nodes.iter().filter(|node| in_region(topology.nodes[node.0].zone) != balancer_inside),
             );
@@ -174,8 +174,8 @@
 }
 
 fn balancers_killed(fault: &Fault, topology: &Topology, random: &mut ChaCha8Rng) -> Vec<Step> {
-    let is_real = |copy: &CopyId| topology.copies[copy.0].carrier == Carrier::Real;
+    let is_real = |balancer: &CopyId| topology.copies[balancer.0].carrier == Carrier::Real;
     let real: Vec<CopyId> = (0..topology.copies.len()).map(CopyId).filter(is_real).collect();
     let killed = real.choose_multiple(random, fault.count as usize);
-    killed.map(|copy| Step { at: seconds(fault.at_s), action: Action::KillBalancer(*copy) }).collect()
+    killed.map(|balancer| Step { at: seconds(fault.at_s), action: Action::KillBalancer(*balancer) }).collect()
 }
--- a/scale/src/node/balancer_client.rs
+++ b/scale/src/node/balancer_client.rs
@@ -33,16 +33,16 @@
     #[error("out of time")]
     OutOfTime,
     /// The response status is not 200.
-    #[error("answered {0}")]
+    #[error("response status {0}")]
     Status(StatusCode),
     /// The TCP connection to the balancer failed.
-    #[error("no connection: {0}")]
+    #[error("cannot connect: {0}")]
     Connect(#[from] io::Error),
     /// The connection broke during the exchange.
     #[error("{0}")]
     Http(#[from] hyper::Error),
     /// The response body broke off or is too long.
-    #[error("the body: {0}")]
+    #[error("response body: {0}")]
     Body(#[from] Box<dyn std::error::Error + Send + Sync>),
 }
 
--- a/scale/src/node/handler.rs
+++ b/scale/src/node/handler.rs
@@ -64,7 +64,7 @@
     request: &NodeRequest,
     arrived: Instant,
 ) -> NodeResponse {
-    if connection.beyond_limit {
+    if connection.over_limit {
         let mut response = not_run_response(node);
         response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
         return response;
@@ -116,7 +116,7 @@
         WorkOutcome::Served => response_with_load(node, StatusCode::OK, SERVED_BODY),
         WorkOutcome::Error => response_with_load(node, StatusCode::INTERNAL_SERVER_ERROR, b""),
         WorkOutcome::Reset => {
-            connection.reset.notify_one();
+            connection.reset_requested.notify_one();
             pending().await
         }
     }
--- a/scale/src/node/model/tests.rs
+++ b/scale/src/node/model/tests.rs
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn requests_run_side_by_side_on_the_cores_and_then_wait_their_turn() {
+fn requests_run_in_parallel_on_the_cores_and_then_queue() {
     let mut node = NodeModel::new(&settings(), 1);
     let ends: Vec<_> = (0..5).map(|_| ends_at(node.admit_request(ms(0)))).collect();
     assert_eq!(ends, [ms(100), ms(100), ms(200), ms(200), ms(300)]);
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn a_request_beyond_the_queue_is_turned_away_until_a_place_is_free() {
+fn a_request_is_rejected_while_the_queue_is_full() {
     let mut node = NodeModel::new(&settings(), 1);
     for _ in 0..5 {
         ends_at(node.admit_request(ms(0)));
@@ -48,7 +48,7 @@
 }
 
 #[test]
-fn a_restarted_node_begins_slow_and_speeds_up_evenly() {
+fn a_restarted_node_starts_slow_and_speeds_up_linearly() {
     let cold = scenario::Node { cores: 1, cold_share: 0.25, cold_s: 10.0, fall_multiple: 1e6, ..settings() };
     let mut node = NodeModel::new(&cold, 1);
     assert_eq!(ends_at(node.admit_request(ms(0))), ms(100));
@@ -62,7 +62,7 @@
 }
 
 #[test]
-fn work_that_begins_cold_ends_at_full_speed() {
+fn work_that_starts_during_warm_up_ends_at_full_speed() {
     let cold = scenario::Node { work_ms: 2000.0, cold_share: 0.5, cold_s: 2.0, ..settings() };
     let mut node = NodeModel::new(&cold, 1);
     node.restart(ms(0));
@@ -71,7 +71,7 @@
 }
 
 #[test]
-fn a_cold_node_falls_on_the_first_request_beyond_its_budget_and_stays_down() {
+fn a_cold_node_collapses_on_the_first_request_over_its_limit_and_stays_down() {
     // At the start 2 cores complete 0.25 * 20 requests per second; 4 times that over 2 s is 40, and the slack
     // is 2 * sqrt(40) + 2.
     let cold =
@@ -91,7 +91,7 @@
 }
 
 #[test]
-fn the_budget_of_a_cold_node_is_counted_over_the_window() {
+fn the_limit_of_a_cold_node_applies_to_a_sliding_window() {
     let cold =
         scenario::Node { cold_share: 0.25, cold_s: 1e6, fall_multiple: 4.0, fall_s: 2.0, ..settings() };
     let mut node = NodeModel::new(&cold, 1);
@@ -103,7 +103,7 @@
 }
 
 #[test]
-fn a_warm_node_turns_away_and_never_falls() {
+fn a_warm_node_rejects_requests_and_never_collapses() {
     let mut node = NodeModel::new(&settings(), 1);
     let rejected = (0..5000).filter(|_| node.admit_request(ms(1)) == Admission::QueueFull).count();
     assert_eq!(rejected, 4995);
@@ -121,7 +121,7 @@
 }
 
 #[test]
-fn drawn_work_has_its_mean_and_shares_are_kept() {
+fn drawn_work_has_the_configured_mean_and_outcomes_their_shares() {
     let drawn =
         scenario::Node { cores: 1, work_fixed: false, error_share: 0.2, reset_share: 0.1, ..settings() };
     let mut node = NodeModel::new(&drawn, 7);
@@ -165,7 +165,7 @@
 }
 
 #[test]
-fn time_that_goes_back_counts_as_the_latest_seen() {
+fn an_earlier_time_counts_as_the_latest_one() {
     let mut node = NodeModel::new(&scenario::Node { cores: 1, ..settings() }, 1);
     ends_at(node.admit_request(ms(500)));
     assert_eq!(ends_at(node.admit_request(ms(400))), ms(700));
--- a/scale/src/node/order_history/tests.rs
+++ b/scale/src/node/order_history/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn an_id_is_known_for_a_generation_and_memory_is_bounded() {
+fn an_id_is_remembered_for_a_generation_and_memory_is_bounded() {
     let mut history = OrderHistory::default();
     assert!(!history.record_run("first"));
     assert!(history.record_run("first"));
--- a/scale/src/node/precise_timer.rs
+++ b/scale/src/node/precise_timer.rs
@@ -111,8 +111,8 @@
             }
             waits = match waits.pending.peek().map(|earliest| earliest.at - now) {
                 None => self.changed.wait(waits).unwrap_or_else(PoisonError::into_inner),
-                Some(left) => {
-                    self.changed.wait_timeout(waits, left).unwrap_or_else(PoisonError::into_inner).0
+                Some(remaining) => {
+                    self.changed.wait_timeout(waits, remaining).unwrap_or_else(PoisonError::into_inner).0
                 }
             };
         }
--- a/scale/src/node/precise_timer/tests.rs
+++ b/scale/src/node/precise_timer/tests.rs
@@ -5,7 +5,7 @@
 use super::*;
 
 #[test]
-fn waits_are_due_at_their_time_the_earliest_first() {
+fn waits_are_due_at_their_time_earliest_first() {
     let start = Instant::now();
     let at = |milliseconds| start + Duration::from_millis(milliseconds);
     let mut waits = Waits::default();
@@ -20,7 +20,7 @@
 }
 
 #[tokio::test]
-async fn a_wait_ends_not_early_and_ahead_of_a_longer_one_that_was_asked_for_first() {
+async fn a_wait_does_not_end_early_and_ends_before_a_longer_one_added_first() {
     let timer = PreciseTimer::start().unwrap();
     let start = Instant::now();
     let mut long = std::pin::pin!(timer.wait_until(start + Duration::from_secs(1_000_000)));
@@ -37,7 +37,7 @@
 }
 
 #[tokio::test]
-async fn the_thread_ends_while_waits_are_open() {
+async fn the_thread_ends_while_waits_are_pending() {
     let timer = Arc::new(PreciseTimer::start().unwrap());
     let waiting = tokio::spawn({
         let timer = Arc::downgrade(&timer);
--- a/scale/src/node/request/tests.rs
+++ b/scale/src/node/request/tests.rs
@@ -13,7 +13,7 @@
 }
 
 #[test]
-fn a_request_is_read_with_all_its_parts() {
+fn all_parts_of_a_request_are_parsed() {
     let headers = [("x-request-id", "a1"), ("x-deadline", "0.480")];
     let request = read("/order?hops=26&hop=2&tenant=tenant-0", &headers).unwrap();
     assert_eq!((request.id.as_str(), request.class, request.hops, request.hop), ("a1", Class::Order, 26, 2));
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn a_request_without_an_id_or_sense_is_told_apart() {
+fn a_missing_id_and_a_malformed_request_are_distinct_errors() {
     assert_eq!(read("/read?hops=1&hop=1", &[]).unwrap_err(), RequestError::NoId);
     let id = ("x-request-id", "a1");
     for path in ["/read?hops=x", "/read?hops=-1", "/read?hop=99999999999"] {
--- a/scale/src/node/server.rs
+++ b/scale/src/node/server.rs
@@ -27,7 +27,7 @@
 #[derive(Debug, Error)]
 pub enum NodeError {
     /// The system has no port or descriptor left.
-    #[error("node {node} has no port: {cause}")]
+    #[error("cannot open a port for node {node}: {cause}")]
     Port {
         /// The node's name.
         node: String,
@@ -35,7 +35,7 @@
         cause: io::Error,
     },
     /// The system has no thread left for the timer.
-    #[error("the nodes have no thread for their waits: {0}")]
+    #[error("cannot start the timer thread of the nodes: {0}")]
     Thread(io::Error),
 }
 
@@ -95,17 +95,17 @@
     }
 
     /// Sets the address of a balancer through which nodes call the next service.
-    pub fn set_balancer(&self, copy: CopyId, address: SocketAddr) {
-        if let Some(balancer) = self.balancers.get(copy.0) {
-            balancer.set_address(address);
+    pub fn set_balancer_address(&self, balancer: CopyId, address: SocketAddr) {
+        if let Some(client) = self.balancers.get(balancer.0) {
+            client.set_address(address);
         }
     }
 
     /// Makes a node hang or resume. A hanging node accepts connections and requests but answers nothing. It
     /// works on the requests it received meanwhile once it resumes, unless their callers are gone.
-    pub fn silence(&self, node: NodeId, silent: bool) {
+    pub fn set_silent(&self, node: NodeId, silent: bool) {
         if let Some(node) = self.node(node) {
-            node.silence(silent);
+            node.set_silent(silent);
         }
     }
 
--- a/scale/src/node/socket.rs
+++ b/scale/src/node/socket.rs
@@ -54,9 +54,9 @@
 #[derive(Debug)]
 pub(super) struct Connection {
     /// The node had reached its connection limit before this one.
-    pub(super) beyond_limit: bool,
+    pub(super) over_limit: bool,
     /// Requests a reset of the connection.
-    pub(super) reset: Notify,
+    pub(super) reset_requested: Notify,
     pub(super) states: watch::Receiver<NodeState>,
 }
 
@@ -88,7 +88,7 @@
     }
 
     /// Makes the process hang or resume.
-    pub(super) fn silence(&self, silent: bool) {
+    pub(super) fn set_silent(&self, silent: bool) {
         self.states.send_modify(|state| state.silent = silent);
     }
 
@@ -100,7 +100,7 @@
             was_running
         });
         if stopped && let Err(error) = self.port.close() {
-            tracing::error!(%error, "the port of a node cannot be shut");
+            tracing::error!(%error, "cannot close the port of a node");
         }
     }
 
@@ -109,7 +109,7 @@
         self.stop();
         self.model().restart(self.now());
         if let Err(error) = self.port.reopen() {
-            tracing::error!(%error, "the port of a node cannot be opened again");
+            tracing::error!(%error, "cannot reopen the port of a node");
         }
         self.states.send_modify(|state| state.runs = true);
     }
@@ -121,20 +121,20 @@
     let mut connections = JoinSet::new();
     loop {
         state::wait_until(&mut states, |state| state.runs).await;
-        let at_start = *states.borrow();
+        let start_state = *states.borrow();
         tokio::select! {
             biased;
-            () = state::wait_until(&mut states, |state| !state.is_same_process(at_start)) => {}
-            () = accept(&node, at_start, &mut connections) => {}
+            () = state::wait_until(&mut states, |state| !state.is_same_process(start_state)) => {}
+            () = accept(&node, start_state, &mut connections) => {}
         }
     }
 }
 
-async fn accept(node: &Arc<SocketNode>, at_start: NodeState, connections: &mut JoinSet<()>) {
+async fn accept(node: &Arc<SocketNode>, start_state: NodeState, connections: &mut JoinSet<()>) {
     let listener = node.port.listener();
     loop {
         match port::accept(&listener).await {
-            Ok(stream) => drop(connections.spawn(serve(node.clone(), at_start, stream))),
+            Ok(stream) => drop(connections.spawn(serve(node.clone(), start_state, stream))),
             Err(_) => sleep(ACCEPT_RETRY_DELAY).await,
         }
         while connections.try_join_next().is_some() {}
@@ -142,23 +142,23 @@
 }
 
 /// Serves a connection until it ends or has to be reset.
-async fn serve(node: Arc<SocketNode>, at_start: NodeState, stream: TcpStream) {
+async fn serve(node: Arc<SocketNode>, start_state: NodeState, stream: TcpStream) {
     let _slot = ConnectionSlot::take(&node);
-    let beyond_limit = node.open_connections.load(Ordering::Relaxed) > node.shared.max_connections;
-    if !beyond_limit {
+    let over_limit = node.open_connections.load(Ordering::Relaxed) > node.shared.max_connections;
+    if !over_limit {
         let now = node.now();
         node.model().add_connection(now);
     }
     let mut states = node.states.subscribe();
-    let shared_connection = Connection { beyond_limit, reset: Notify::new(), states: states.clone() };
+    let shared_connection = Connection { over_limit, reset_requested: Notify::new(), states: states.clone() };
     let service = service_fn(async |request| {
         Ok::<_, Infallible>(handler::respond(&node, &shared_connection, request).await)
     });
     let mut connection = http1::Builder::new().serve_connection(TokioIo::new(stream), service);
     tokio::select! {
         biased;
-        () = state::wait_until(&mut states, |state| !state.is_same_process(at_start)) => {}
-        () = shared_connection.reset.notified() => {}
+        () = state::wait_until(&mut states, |state| !state.is_same_process(start_state)) => {}
+        () = shared_connection.reset_requested.notified() => {}
         // An error here means that the peer is gone or sent malformed data; the connection is closed either
         // way.
         _ = &mut connection => return,
--- a/scale/src/run/fleet.rs
+++ b/scale/src/run/fleet.rs
@@ -67,7 +67,7 @@
         let lists = Lists::publish(&control, record, topology, padding, address);
         let balancers = start_balancers(scenario, topology, &control, program, directory.path()).await?;
         for balancer in &balancers {
-            nodes.set_balancer(balancer.copy, balancer.address);
+            nodes.set_balancer_address(balancer.copy, balancer.address);
         }
         let hollow = start_hollow(scenario, topology, &control, record).await?;
         Ok(Self {
--- a/scale/src/run/perform.rs
+++ b/scale/src/run/perform.rs
@@ -72,7 +72,7 @@
 
     fn silence(&self, node: NodeId, silent: bool) {
         if self.fleet.is_real(node) {
-            self.fleet.nodes.silence(node, silent);
+            self.fleet.nodes.set_silent(node, silent);
         } else if let Some(hollow) = &self.fleet.hollow {
             hollow.silence(node, silent);
         }
--- a/scale/tests/nodes.rs
+++ b/scale/tests/nodes.rs
@@ -45,13 +45,13 @@
     Ok(sender)
 }
 
-struct Answer {
+struct NodeResponse {
     status: StatusCode,
     headers: HeaderMap,
     body: Bytes,
 }
 
-impl Answer {
+impl NodeResponse {
     fn not_run(&self) -> bool {
         self.status == StatusCode::SERVICE_UNAVAILABLE
             && self.headers.get("x-not-run").is_some_and(|value| value == "1")
@@ -63,7 +63,7 @@
     method: &str,
     path: &str,
     id: Option<&str>,
-) -> Result<Answer, hyper::Error> {
+) -> Result<NodeResponse, hyper::Error> {
     let mut request = Request::builder().method(method).uri(path).header("host", "node");
     if let Some(id) = id {
         request = request.header("x-request-id", id);
@@ -71,10 +71,10 @@
     request = request.header("x-tenant", "tenant-1").header("x-deadline", "5.0");
     let response = sender.send_request(request.body(Empty::new()).unwrap()).await?;
     let (head, body) = response.into_parts();
-    Ok(Answer { status: head.status, headers: head.headers, body: body.collect().await?.to_bytes() })
+    Ok(NodeResponse { status: head.status, headers: head.headers, body: body.collect().await?.to_bytes() })
 }
 
-async fn get(address: SocketAddr, path: &str, id: &str) -> Result<Answer, hyper::Error> {
+async fn get(address: SocketAddr, path: &str, id: &str) -> Result<NodeResponse, hyper::Error> {
     send(&mut connect(address).await.unwrap(), "GET", path, Some(id)).await
 }
 
@@ -83,7 +83,7 @@
 }
 
 #[tokio::test]
-async fn a_request_is_served_with_a_load_report_and_without_an_id_it_is_not_found() {
+async fn a_request_is_served_with_a_load_report_and_one_without_an_id_gets_404() {
     let (nodes, record) = nodes("connect_ms = 0.0").await;
     let mut sender = connect(nodes.address(FIRST)).await.unwrap();
     let served = send(&mut sender, "GET", "/read?hops=1&hop=1", Some("a")).await.unwrap();
@@ -98,7 +98,7 @@
 }
 
 #[tokio::test]
-async fn an_order_that_runs_twice_is_counted_also_on_another_node() {
+async fn an_order_that_runs_twice_is_counted_even_across_nodes() {
     let (nodes, record) = nodes("").await;
     for (node, method, path, id, duplicated) in [
         (FIRST, "POST", "/order?hops=1&hop=1", "a", 0),
@@ -115,11 +115,11 @@
 }
 
 #[tokio::test]
-async fn a_deep_call_goes_through_to_the_last_node() {
+async fn a_call_of_many_hops_reaches_the_last_node() {
     let (nodes, record) = nodes("").await;
     // A node of the same service takes the place of each balancer.
-    nodes.set_balancer(SECOND_BALANCER, nodes.address(SECOND));
-    nodes.set_balancer(CopyId(0), nodes.address(FIRST));
+    nodes.set_balancer_address(SECOND_BALANCER, nodes.address(SECOND));
+    nodes.set_balancer_address(CopyId(0), nodes.address(FIRST));
     let served = get(nodes.address(FIRST), "/read?hops=27&hop=1", "a").await.unwrap();
     assert_eq!(served.status, StatusCode::OK);
     let measured = record.measured();
@@ -129,9 +129,9 @@
 }
 
 #[tokio::test]
-async fn errors_are_made_at_the_last_hop_and_come_back_through_all() {
+async fn errors_arise_at_the_last_hop_and_propagate_back() {
     let (nodes, record) = nodes("error_share = 1.0").await;
-    nodes.set_balancer(SECOND_BALANCER, nodes.address(SECOND));
+    nodes.set_balancer_address(SECOND_BALANCER, nodes.address(SECOND));
     let failed = get(nodes.address(FIRST), "/read?hops=2&hop=1", "a").await.unwrap();
     assert_eq!(failed.status, StatusCode::INTERNAL_SERVER_ERROR);
     // The first node called the next service although its own drawn outcome was an error.
@@ -139,7 +139,7 @@
 }
 
 /// Reads the head of a request; returns its lines in lower case, the request line first.
-async fn head(stream: &mut BufReader<TcpStream>) -> Vec<String> {
+async fn read_head(stream: &mut BufReader<TcpStream>) -> Vec<String> {
     let mut lines = Vec::new();
     loop {
         let mut line = String::new();
@@ -152,10 +152,10 @@
 }
 
 /// Reads the head of a request and sends a response.
-async fn balance(stream: &mut BufReader<TcpStream>, status: &str) -> Vec<String> {
-    let lines = head(stream).await;
-    let answer = format!("HTTP/1.1 {status}\r\nContent-Length: 0\r\n\r\n");
-    stream.get_mut().write_all(answer.as_bytes()).await.unwrap();
+async fn respond_as_balancer(stream: &mut BufReader<TcpStream>, status: &str) -> Vec<String> {
+    let lines = read_head(stream).await;
+    let response = format!("HTTP/1.1 {status}\r\nContent-Length: 0\r\n\r\n");
+    stream.get_mut().write_all(response.as_bytes()).await.unwrap();
     lines
 }
 
@@ -164,30 +164,34 @@
 }
 
 #[tokio::test]
-async fn a_call_onward_has_its_own_id_and_what_is_left_and_keeps_its_connection() {
+async fn a_call_to_the_next_service_has_its_own_id_and_the_remaining_time_and_reuses_its_connection() {
     let (nodes, _record) = nodes("").await;
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
-    nodes.set_balancer(SECOND_BALANCER, listener.local_addr().unwrap());
+    nodes.set_balancer_address(SECOND_BALANCER, listener.local_addr().unwrap());
     let balancer = tokio::spawn(async move {
         let accept = async || BufReader::new(listener.accept().await.unwrap().0);
         let mut first = accept().await;
-        let mut heads = vec![balance(&mut first, "200 OK").await, balance(&mut first, "429 Too Many").await];
+        let mut heads = vec![
+            respond_as_balancer(&mut first, "200 OK").await,
+            respond_as_balancer(&mut first, "429 Too Many").await,
+        ];
         drop(first);
-        heads.push(balance(&mut accept().await, "200 OK").await);
+        heads.push(respond_as_balancer(&mut accept().await, "200 OK").await);
         heads
     });
     let mut sender = connect(nodes.address(FIRST)).await.unwrap();
     for status in [StatusCode::OK, StatusCode::INTERNAL_SERVER_ERROR, StatusCode::OK] {
-        let answer = send(&mut sender, "GET", "/read?hops=5&hop=3&tenant=tenant-2", Some("a")).await.unwrap();
-        assert_eq!(answer.status, status);
+        let response =
+            send(&mut sender, "GET", "/read?hops=5&hop=3&tenant=tenant-2", Some("a")).await.unwrap();
+        assert_eq!(response.status, status);
     }
     let heads = balancer.await.unwrap();
     let mut ids: Vec<&str> = heads.iter().map(|head| header(head, "x-request-id")).collect();
     for head in &heads {
         assert_eq!(head[0], "get /read?hops=4&hop=4&tenant=tenant-2 http/1.1");
         assert_eq!(header(head, "x-tenant"), "tenant-2");
-        let left: f64 = header(head, "x-deadline").parse().unwrap();
-        assert!(left > 0.0 && left < 5.0, "{left}");
+        let time_left: f64 = header(head, "x-deadline").parse().unwrap();
+        assert!(time_left > 0.0 && time_left < 5.0, "{time_left}");
     }
     ids.push("a");
     ids.sort_unstable();
@@ -196,21 +200,21 @@
 }
 
 #[tokio::test]
-async fn a_call_whose_resting_connection_closes_under_it_is_sent_again_only_if_that_is_harmless() {
+async fn a_call_whose_idle_connection_closes_is_retried_only_if_that_is_harmless() {
     let (nodes, _record) = nodes("").await;
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
-    nodes.set_balancer(SECOND_BALANCER, listener.local_addr().unwrap());
+    nodes.set_balancer_address(SECOND_BALANCER, listener.local_addr().unwrap());
     let balancer = tokio::spawn(async move {
         let accept = async || BufReader::new(listener.accept().await.unwrap().0);
         let mut first = accept().await;
-        balance(&mut first, "200 OK").await;
-        let order = head(&mut first).await;
+        respond_as_balancer(&mut first, "200 OK").await;
+        let order = read_head(&mut first).await;
         drop(first);
         let mut second = accept().await;
-        let read = balance(&mut second, "200 OK").await;
-        let crossed = head(&mut second).await;
+        let read = respond_as_balancer(&mut second, "200 OK").await;
+        let interrupted = read_head(&mut second).await;
         drop(second);
-        [order, read, crossed, balance(&mut accept().await, "200 OK").await]
+        [order, read, interrupted, respond_as_balancer(&mut accept().await, "200 OK").await]
     });
     let mut sender = connect(nodes.address(FIRST)).await.unwrap();
     for (method, path, status) in [
@@ -221,14 +225,14 @@
     ] {
         assert_eq!(send(&mut sender, method, path, Some("a")).await.unwrap().status, status);
     }
-    let [order, read, crossed, again] = balancer.await.unwrap();
+    let [order, read, interrupted, repeated] = balancer.await.unwrap();
     assert_eq!(order[0], "post /order?hops=1&hop=2 http/1.1");
     assert_eq!(read[0], "get /read?hops=1&hop=2 http/1.1");
-    assert_eq!(crossed, again);
+    assert_eq!(interrupted, repeated);
 }
 
 #[tokio::test]
-async fn a_stopped_node_refuses_and_comes_back_cold_on_the_same_port() {
+async fn a_stopped_node_refuses_connections_and_restarts_cold_on_the_same_port() {
     // A cold node takes two requests, a warm one any number.
     let (nodes, record) = nodes("fall_multiple = 0.0\nfall_s = 1e5\ncold_s = 1e6\ncold_share = 1.0").await;
     let address = nodes.address(FIRST);
@@ -252,9 +256,9 @@
 }
 
 #[tokio::test]
-async fn a_silent_node_takes_requests_and_answers_only_when_it_goes_on() {
+async fn a_silent_node_accepts_requests_and_answers_once_it_resumes() {
     let (nodes, record) = nodes("").await;
-    nodes.silence(FIRST, true);
+    nodes.set_silent(FIRST, true);
     let address = nodes.address(FIRST);
     let hanging = tokio::spawn(async move { get(address, "/read", "a").await.unwrap().status });
     while attempts(&record) == 0 {
@@ -262,12 +266,12 @@
     }
     assert_eq!(get(nodes.address(SECOND), "/read", "b").await.unwrap().status, StatusCode::OK);
     assert!(!hanging.is_finished());
-    nodes.silence(FIRST, false);
+    nodes.set_silent(FIRST, false);
     assert_eq!(hanging.await.unwrap(), StatusCode::OK);
 }
 
 #[tokio::test]
-async fn a_request_beyond_the_queue_has_not_run() {
+async fn a_request_over_the_queue_limit_does_not_run() {
     // The first request occupies the only core for the rest of the test.
     let (nodes, record) = start("work_ms = 1e9\ncores = 1\nqueue = 0\nconnect_ms = 0.0").await;
     let address = nodes.address(FIRST);
@@ -280,7 +284,7 @@
 }
 
 #[tokio::test]
-async fn a_request_on_a_connection_too_many_has_not_run() {
+async fn a_request_over_the_connection_limit_does_not_run() {
     let (nodes, _record) = nodes("connections = 1").await;
     let mut first = connect(nodes.address(FIRST)).await.unwrap();
     assert_eq!(send(&mut first, "GET", "/read", Some("a")).await.unwrap().status, StatusCode::OK);
@@ -291,7 +295,7 @@
 }
 
 #[tokio::test]
-async fn a_reset_breaks_the_connection_under_the_request() {
+async fn a_reset_breaks_the_connection_of_the_request() {
     let (nodes, record) = nodes("reset_share = 1.0").await;
     assert!(get(nodes.address(FIRST), "/read", "a").await.is_err());
     assert_eq!(attempts(&record), 1);
