--- a/proxy/src/discovery.rs
+++ b/proxy/src/discovery.rs
@@ -14,7 +14,7 @@
 
 use crate::metrics::WatchEnd;
 use crate::permit::Permit;
-use crate::upstream::{self, ConnectError, Dial};
+use crate::upstream::{self, ConnectError, ConnectTarget};
 
 /// A word from discovery: the whole list or what changed.
 #[derive(Debug, Clone, Deserialize, Serialize)]
@@ -181,7 +181,7 @@
     let asked = Instant::now();
     tracing::info!(watch = number.0, %address, since, "asks discovery for a watch");
     let mut silent_at = asked + FIRST_WORD;
-    let dial = Dial { address, patience: FIRST_WORD };
+    let dial = ConnectTarget { address, timeout: FIRST_WORD };
     let mut conn = upstream::connect(events.reserve_descriptor(), dial).await?;
     let request = Request::get(format!("/catalog/members?follow=1&since={since}"))
         .header(header::HOST, address.to_string())
--- a/proxy/src/driver.rs
+++ b/proxy/src/driver.rs
@@ -29,12 +29,12 @@
 use crate::permit::Permit;
 use crate::reload::{Changes, ReloadError};
 use crate::subscription::Subscription;
-use crate::upstream::{self, Call, Connection, Ended, Job, Progress};
+use crate::upstream::{self, AttemptResult, AttemptSpec, Connection, ForwardedRequest, Progress};
 
 /// Descriptors that are no connection: standard streams, listener, runtime.
-const OTHER_DESCRIPTORS: usize = 16;
+const RESERVED_DESCRIPTORS: usize = 16;
 /// Descriptors that upstream connections leave to clients.
-const CLIENTS_PART: usize = 4;
+const CLIENT_SHARE_DIVISOR: usize = 4;
 
 /// The final answer to a client.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -52,58 +52,58 @@
 
 /// A client's request, ready for the decisions.
 #[derive(Debug)]
-pub struct Taken {
+pub struct ClientRequest {
     /// Its class.
     pub class: ClassId,
     /// Its tenant.
     pub tenant: Option<TenantId>,
     /// Its subject.
-    pub key: Option<u64>,
+    pub resource_key: Option<u64>,
     /// The work expected.
     pub expected_work: Option<Duration>,
     /// The client has marked it as a repeat.
-    pub repeat: bool,
+    pub is_retry: bool,
     /// When the answer must be out.
     pub deadline: Instant,
     /// What goes on to upstreams.
-    pub call: Rc<Call>,
+    pub forwarded: Rc<ForwardedRequest>,
 }
 
 /// A request that is held, or has attempts out.
-struct Held {
-    call: Rc<Call>,
+struct PendingRequest {
+    forwarded: Rc<ForwardedRequest>,
     deadline: Instant,
     /// Taken by the final answer.
-    answer: Option<oneshot::Sender<Answer>>,
+    answer_sender: Option<oneshot::Sender<Answer>>,
     /// By attempt, while it is out.
-    attempts: Vec<Option<Out>>,
-    out: u32,
+    attempts: Vec<Option<InFlightAttempt>>,
+    attempts_in_flight: u32,
 }
 
 /// An attempt that is out.
-struct Out {
+struct InFlightAttempt {
     upstream: UpstreamId,
     /// Ends it, with this outcome.
-    end: oneshot::Sender<Outcome>,
+    cancel: oneshot::Sender<Outcome>,
     progress: Rc<Progress>,
 }
 
-struct Kept {
+struct IdleConnection {
     connection: Connection,
     address: SocketAddr,
-    since: Instant,
+    idle_since: Instant,
 }
 
 struct Core {
     balancer: Balancer,
     events: VecDeque<Event>,
-    requests: FxHashMap<RequestId, Held>,
+    requests: FxHashMap<RequestId, PendingRequest>,
     /// The clients' ids of the requests held: upstreams count a second request with one of them as a copy.
-    open: FxHashSet<Box<[u8]>>,
-    next_request: u64,
+    client_ids: FxHashSet<Box<[u8]>>,
+    next_request_id: u64,
     directory: Directory,
     /// Idle connections, the most recently used last.
-    kept: FxHashMap<UpstreamId, Vec<Kept>>,
+    idle_connections: FxHashMap<UpstreamId, Vec<IdleConnection>>,
     subscription: Subscription,
 }
 
@@ -114,9 +114,9 @@
     reconfigured: Notify,
     clock: Clock,
     metrics: Metrics,
-    sockets: Rc<Cell<usize>>,
+    open_sockets: Rc<Cell<usize>>,
     /// When the program ends, once that is known.
-    ends: Cell<Option<Instant>>,
+    shutdown_deadline: Cell<Option<Instant>>,
 }
 
 impl Driver {
@@ -132,10 +132,10 @@
             balancer: Balancer::new(in_force.settings(), seed)?,
             events: VecDeque::new(),
             requests: FxHashMap::default(),
-            open: FxHashSet::default(),
-            next_request: 0,
+            client_ids: FxHashSet::default(),
+            next_request_id: 0,
             directory: Directory::new(clock),
-            kept: FxHashMap::default(),
+            idle_connections: FxHashMap::default(),
             subscription: Subscription::new(in_force.discovery()),
         };
         let driver = Rc::new(Self {
@@ -144,16 +144,16 @@
             reconfigured: Notify::new(),
             clock,
             metrics: Metrics::new(),
-            sockets: Rc::new(Cell::new(0)),
-            ends: Cell::new(None),
+            open_sockets: Rc::new(Cell::new(0)),
+            shutdown_deadline: Cell::new(None),
         });
         // The subscription asks for what came after the list in hand, so that is taken in first. One that names nobody to
         // serve is asked for whole: what it lacks may not change for long.
         if let Some(known) = known {
             let index = known.index;
-            driver.take_list(&known, Origin::Configuration);
-            let since = if driver.can_serve() { index } else { 0 };
-            driver.core.borrow_mut().subscription.resume_from(since);
+            driver.apply_list(&known, Origin::Configuration);
+            let resume_version = if driver.can_serve() { index } else { 0 };
+            driver.core.borrow_mut().subscription.resume_from(resume_version);
         }
         driver.handle(Event::Started);
         let sweeper = Rc::clone(&driver);
@@ -161,7 +161,7 @@
             loop {
                 // New settings may close sooner than the old ones.
                 let _ = timeout(sweeper.in_force().keep() / 8, sweeper.reconfigured.notified()).await;
-                sweeper.drop_old();
+                sweeper.close_expired();
             }
         });
         Ok(driver)
@@ -182,8 +182,8 @@
     /// All figures for the operator as text.
     #[must_use]
     pub fn metrics_text(&self) -> String {
-        let open = self.core.borrow().requests.len();
-        self.metrics.measured(open, self.sockets.get() + OTHER_DESCRIPTORS);
+        let requests_open = self.core.borrow().requests.len();
+        self.metrics.set_usage(requests_open, self.open_sockets.get() + RESERVED_DESCRIPTORS);
         self.metrics.text()
     }
 
@@ -193,13 +193,13 @@
     /// It cannot follow the one in force.
     pub fn reconfigure(self: &Rc<Self>, config: Config) -> Result<Changes, ReloadError> {
         let old = self.in_force();
-        let (new, changes) = old.succeeded_by(config, self.sockets.get() + OTHER_DESCRIPTORS)?;
+        let (new, changes) = old.succeeded_by(config, self.open_sockets.get() + RESERVED_DESCRIPTORS)?;
         let (discovery, settings) = (new.discovery(), new.settings());
         self.in_force.replace(Rc::new(new));
         if settings != old.settings() {
             self.handle(Event::SettingsChanged(Box::new(settings)));
         }
-        self.watch_anew(discovery, changes.renames_members());
+        self.restart_watch(discovery, changes.renames_members());
         self.reconfigured.notify_one();
         Ok(changes)
     }
@@ -215,138 +215,147 @@
     /// Counts a connection that is had in any case: a client's, which the machine has already accepted, or
     /// discovery's, without which drains would be missed.
     #[must_use]
-    pub fn reserved_permit(&self) -> Permit {
-        Permit::of(&self.sockets)
+    pub fn unconditional_permit(&self) -> Permit {
+        Permit::acquire(&self.open_sockets)
     }
 
     /// Whether so many sockets are open that those not in use must go.
     #[must_use]
     pub fn short_of_sockets(&self) -> bool {
-        let most = self.sockets_most();
-        self.sockets.get() >= most - most / (2 * CLIENTS_PART)
+        let max = self.max_connections();
+        self.open_sockets.get() >= max - max / (2 * CLIENT_SHARE_DIVISOR)
     }
 
     /// Whether the last socket of the budget is taken.
     #[must_use]
-    pub fn full(&self) -> bool {
-        self.sockets.get() > self.sockets_most()
+    pub fn over_socket_budget(&self) -> bool {
+        self.open_sockets.get() > self.max_connections()
     }
 
-    fn sockets_most(&self) -> usize {
-        self.in_force.borrow().sockets().saturating_sub(OTHER_DESCRIPTORS)
+    fn max_connections(&self) -> usize {
+        self.in_force.borrow().sockets().saturating_sub(RESERVED_DESCRIPTORS)
     }
 
     /// A socket for a connection of our own, if the budget has one: idle ones are closed to make room.
     #[must_use]
-    pub fn permit(&self) -> Option<Permit> {
-        let most = self.sockets_most();
-        if self.sockets.get() >= most - most / CLIENTS_PART {
-            self.drop_idle_most();
+    pub fn try_permit(&self) -> Option<Permit> {
+        let max = self.max_connections();
+        if self.open_sockets.get() >= max - max / CLIENT_SHARE_DIVISOR {
+            self.close_least_recently_used();
         }
-        (self.sockets.get() < most).then(|| self.reserved_permit())
+        (self.open_sockets.get() < max).then(|| self.unconditional_permit())
     }
 
     /// Closes the idle connection to an upstream that was used least recently; tells whether there was one.
-    pub fn drop_idle_most(&self) -> bool {
+    pub fn close_least_recently_used(&self) -> bool {
         let mut core = self.core.borrow_mut();
-        let oldest = core
-            .kept
+        let least_recent = core
+            .idle_connections
             .values_mut()
-            .filter(|kept| !kept.is_empty())
-            .min_by_key(|kept| kept.first().map(|oldest| oldest.since));
-        oldest.map(|kept| kept.remove(0)).is_some()
+            .filter(|pool| !pool.is_empty())
+            .min_by_key(|pool| pool.first().map(|oldest| oldest.idle_since));
+        least_recent.map(|pool| pool.remove(0)).is_some()
     }
 
     /// A free connection to an upstream, the most recently used first.
     #[must_use]
     pub fn take_idle(&self, upstream: UpstreamId) -> Option<Connection> {
-        let keep = self.in_force.borrow().keep();
+        let idle_timeout = self.in_force.borrow().keep();
         let mut core = self.core.borrow_mut();
-        let kept = core.kept.get_mut(&upstream)?;
-        while let Some(last) = kept.pop() {
-            if last.connection.is_free() && last.since.elapsed() < keep {
-                return Some(last.connection);
+        let pool = core.idle_connections.get_mut(&upstream)?;
+        while let Some(latest) = pool.pop() {
+            if latest.connection.is_free() && latest.idle_since.elapsed() < idle_timeout {
+                return Some(latest.connection);
             }
         }
         None
     }
 
     /// Keeps a connection for the next attempt.
-    pub fn keep(&self, upstream: UpstreamId, address: SocketAddr, connection: Connection) {
-        if !self.may_send(upstream, address) || !connection.is_free() {
+    pub fn store_idle(&self, upstream: UpstreamId, address: SocketAddr, connection: Connection) {
+        if !self.accepts_new_requests(upstream, address) || !connection.is_free() {
             return;
         }
-        let kept = Kept { connection, address, since: Instant::now() };
-        self.core.borrow_mut().kept.entry(upstream).or_default().push(kept);
+        let idle = IdleConnection { connection, address, idle_since: Instant::now() };
+        self.core.borrow_mut().idle_connections.entry(upstream).or_default().push(idle);
     }
 
     /// Whether discovery's last word allows new work for an upstream at this address.
     #[must_use]
-    pub fn may_send(&self, upstream: UpstreamId, address: SocketAddr) -> bool {
+    pub fn accepts_new_requests(&self, upstream: UpstreamId, address: SocketAddr) -> bool {
         self.core.borrow().directory.ready_address(upstream) == Some(address)
     }
 
-    fn drop_old(&self) {
-        let keep = self.in_force.borrow().keep();
+    fn close_expired(&self) {
+        let idle_timeout = self.in_force.borrow().keep();
         let mut core = self.core.borrow_mut();
-        for kept in core.kept.values_mut() {
-            kept.retain(|kept| kept.connection.is_free() && kept.since.elapsed() < keep);
+        for pool in core.idle_connections.values_mut() {
+            pool.retain(|idle| idle.connection.is_free() && idle.idle_since.elapsed() < idle_timeout);
         }
     }
 
     // --- Requests ---
 
     /// The program ends then: no request taken from now on may last longer.
-    pub fn end_by(&self, ends: Instant) {
-        self.ends.set(Some(ends));
+    pub fn set_shutdown_deadline(&self, shutdown_deadline: Instant) {
+        self.shutdown_deadline.set(Some(shutdown_deadline));
     }
 
     /// Takes a request; its final answer comes through the receiver. `None` if one with the client's id is
     /// open, or has attempts out.
-    pub fn take(self: &Rc<Self>, taken: Taken) -> Option<(RequestId, oneshot::Receiver<Answer>)> {
-        let (answer, receiver) = oneshot::channel();
-        let deadline = self.ends.get().map_or(taken.deadline, |ends| taken.deadline.min(ends));
+    pub fn submit(self: &Rc<Self>, request: ClientRequest) -> Option<(RequestId, oneshot::Receiver<Answer>)> {
+        let (answer_sender, receiver) = oneshot::channel();
+        let deadline = self
+            .shutdown_deadline
+            .get()
+            .map_or(request.deadline, |shutdown_deadline| request.deadline.min(shutdown_deadline));
         let id = {
             let mut core = self.core.borrow_mut();
-            if !core.open.insert(taken.call.id.as_bytes().into()) {
+            if !core.client_ids.insert(request.forwarded.request_id.as_bytes().into()) {
                 return None;
             }
-            let id = RequestId(core.next_request);
-            core.next_request += 1;
-            let (client_id, class) = (taken.call.id.as_bytes().escape_ascii(), taken.class.0);
+            let id = RequestId(core.next_request_id);
+            core.next_request_id += 1;
+            let (client_id, class) =
+                (request.forwarded.request_id.as_bytes().escape_ascii(), request.class.0);
             tracing::debug!(id = %client_id, class, "request taken");
-            let held =
-                Held { call: taken.call, deadline, answer: Some(answer), attempts: Vec::new(), out: 0 };
-            core.requests.insert(id, held);
+            let pending = PendingRequest {
+                forwarded: request.forwarded,
+                deadline,
+                answer_sender: Some(answer_sender),
+                attempts: Vec::new(),
+                attempts_in_flight: 0,
+            };
+            core.requests.insert(id, pending);
             id
         };
         self.handle(Event::Request(Request {
             id,
-            class: taken.class,
-            tenant: taken.tenant,
-            resource_key: taken.key,
+            class: request.class,
+            tenant: request.tenant,
+            resource_key: request.resource_key,
             time_left: deadline.saturating_duration_since(Instant::now()),
-            expected_work: taken.expected_work,
-            is_retry: taken.repeat,
+            expected_work: request.expected_work,
+            is_retry: request.is_retry,
         }));
         Some((id, receiver))
     }
 
     /// The client has left, or its time is up: nothing more is owed.
-    pub fn client_left(self: &Rc<Self>, id: RequestId) {
+    pub fn abandon(self: &Rc<Self>, id: RequestId) {
         {
             let mut core = self.core.borrow_mut();
-            let Some(held) = core.requests.get_mut(&id) else { return };
-            if held.answer.take().is_none() {
+            let Some(pending) = core.requests.get_mut(&id) else { return };
+            if pending.answer_sender.take().is_none() {
                 return;
             }
-            tracing::debug!(id = %held.client_id(), "client left or out of time");
+            tracing::debug!(id = %pending.client_id(), "client left or out of time");
             self.metrics.request_abandoned();
             // What waits for its connection, or has not gone out whole, goes to nobody's benefit. Closed before
             // its last byte it never runs, so that this needs no leave to cancel.
-            for attempt in &mut held.attempts {
-                if let Some(out) = attempt.take_if(|out| !out.progress.whole()) {
-                    let _ = out.end.send(Outcome::Withdrawn);
+            for attempt in &mut pending.attempts {
+                if let Some(in_flight) = attempt.take_if(|in_flight| !in_flight.progress.is_fully_written()) {
+                    let _ = in_flight.cancel.send(Outcome::Withdrawn);
                 }
             }
             core.release(id);
@@ -355,41 +364,41 @@
     }
 
     /// An attempt is over, which took so long.
-    pub fn attempt_ended(self: &Rc<Self>, job: &Job, took: Duration, ended: Ended) {
-        let finished = {
+    pub fn attempt_ended(self: &Rc<Self>, spec: &AttemptSpec, duration: Duration, result: AttemptResult) {
+        let request_ended = {
             let mut core = self.core.borrow_mut();
             let Core { requests, directory, .. } = &mut *core;
-            let Some(held) = requests.get_mut(&job.request) else { return };
-            held.out -= 1;
-            self.metrics.attempt_ended(ended.outcome);
+            let Some(pending) = requests.get_mut(&spec.request) else { return };
+            pending.attempts_in_flight -= 1;
+            self.metrics.attempt_ended(result.outcome);
             tracing::debug!(
-                id = %held.client_id(),
-                attempt = job.attempt.0,
-                upstream = directory.name(job.upstream).unwrap_or("unlisted"),
-                outcome = ?ended.outcome,
-                took_ms = took.as_millis(),
+                id = %pending.client_id(),
+                attempt = spec.attempt.0,
+                upstream = directory.name(spec.upstream).unwrap_or("unlisted"),
+                outcome = ?result.outcome,
+                took_ms = duration.as_millis(),
                 "attempt ended"
             );
-            if let Some(attempt) = held.attempts.get_mut(job.attempt.0 as usize) {
+            if let Some(attempt) = pending.attempts.get_mut(spec.attempt.0 as usize) {
                 *attempt = None;
             }
-            if let Some(body) = ended.body
-                && let Some(answer) = held.answer.take()
+            if let Some(body) = result.body
+                && let Some(sender) = pending.answer_sender.take()
             {
                 // A client that has just left is told of on its own way.
-                let _ = answer.send(Answer::Served(body));
+                let _ = sender.send(Answer::Served(body));
             }
-            let finished = held.answer.is_none();
-            core.release(job.request);
-            finished
+            let request_ended = pending.answer_sender.is_none();
+            core.release(spec.request);
+            request_ended
         };
         self.handle(Event::AttemptEnded(AttemptEnded {
-            request: job.request,
-            attempt: job.attempt,
-            outcome: ended.outcome,
-            duration: took,
-            request_ended: finished,
-            load: ended.load,
+            request: spec.request,
+            attempt: spec.attempt,
+            outcome: result.outcome,
+            duration,
+            request_ended,
+            load: result.load,
         }));
     }
 
@@ -398,31 +407,31 @@
     /// Discovery is to be asked at this address from now on, and for the whole list if the one in hand was read by
     /// other names. The watch that stands goes on being heard until the new one has spoken, so that no drain is
     /// missed in between.
-    fn watch_anew(self: &Rc<Self>, address: SocketAddr, whole: bool) {
-        let moved = {
+    fn restart_watch(self: &Rc<Self>, address: SocketAddr, full_list: bool) {
+        let address_changed = {
             let mut core = self.core.borrow_mut();
-            if whole {
+            if full_list {
                 core.subscription.start_over();
             }
             core.subscription.move_to(address)
         };
-        if moved || whole {
+        if address_changed || full_list {
             self.handle(Event::DiscoveryMoved);
         }
     }
 
-    fn take_list(self: &Rc<Self>, update: &Update, origin: Origin) {
+    fn apply_list(self: &Rc<Self>, update: &Update, origin: Origin) {
         let list = {
             let mut core = self.core.borrow_mut();
-            let Core { directory, kept, .. } = &mut *core;
+            let Core { directory, idle_connections, .. } = &mut *core;
             let change = directory.take(update, origin, self.in_force.borrow().names());
             for upstream in change.restarted {
-                kept.remove(&upstream);
+                idle_connections.remove(&upstream);
             }
             // Nothing kept goes to an upstream that drains, is gone, or has moved.
-            kept.retain(|&upstream, kept| match directory.ready_address(upstream) {
+            idle_connections.retain(|&upstream, pool| match directory.ready_address(upstream) {
                 Some(address) => {
-                    kept.retain(|kept| kept.address == address);
+                    pool.retain(|idle| idle.address == address);
                     true
                 }
                 None => false,
@@ -462,27 +471,30 @@
                 self.send(core, request, upstream, timeout, start_within);
             }
             Action::CancelAttempt { request, attempt } => {
-                let held = core.requests.get_mut(&request);
-                if let Some(out) =
-                    held.and_then(|held| held.attempts.get_mut(attempt.0 as usize)).and_then(Option::take)
+                let pending = core.requests.get_mut(&request);
+                if let Some(in_flight) = pending
+                    .and_then(|pending| pending.attempts.get_mut(attempt.0 as usize))
+                    .and_then(Option::take)
                 {
                     // It may have ended this moment, which it then says itself.
-                    let _ = out.end.send(Outcome::Withdrawn);
+                    let _ = in_flight.cancel.send(Outcome::Withdrawn);
                 }
             }
             Action::Refuse { request, retry_after } => core.answer(request, Answer::Refused { retry_after }),
             Action::Fail { request } => core.answer(request, Answer::Failed),
             Action::SubscribeToDiscovery => {
-                self.metrics.watch_asked();
+                self.metrics.watch_requested();
                 core.subscription
                     .renew(|request| spawn_local(discovery::watch(Rc::clone(self), request)).abort_handle());
             }
             Action::AbortPendingConnects { upstream } => {
                 // Until its first byte is written it waits for a connection, and can't have run.
-                let connecting = |out: &mut Out| out.upstream == upstream && !out.progress.begun();
-                let attempts = core.requests.values_mut().flat_map(|held| &mut held.attempts);
-                for out in attempts.filter_map(|attempt| attempt.take_if(connecting)) {
-                    let _ = out.end.send(Outcome::ConnectFailed);
+                let connecting = |in_flight: &mut InFlightAttempt| {
+                    in_flight.upstream == upstream && !in_flight.progress.has_begun()
+                };
+                let attempts = core.requests.values_mut().flat_map(|pending| &mut pending.attempts);
+                for in_flight in attempts.filter_map(|attempt| attempt.take_if(connecting)) {
+                    let _ = in_flight.cancel.send(Outcome::ConnectFailed);
                 }
             }
             // Health checks are not made here: where a site allowed them, they would end unsent.
@@ -493,12 +505,12 @@
                 load: None,
             }),
             Action::CloseIdleConnections { upstream } => {
-                core.kept.remove(&upstream);
+                core.idle_connections.remove(&upstream);
             }
-            Action::SetTimer(span) => {
+            Action::SetTimer(delay) => {
                 let driver = Rc::clone(self);
                 spawn_local(async move {
-                    sleep(span).await;
+                    sleep(delay).await;
                     driver.handle(Event::TimerFired);
                 });
             }
@@ -511,20 +523,24 @@
         match report {
             Report::RequestUnserved { request, reason } => {
                 self.metrics.request_unserved(reason.into());
-                let Some(held) = core.requests.get(&request) else { return };
+                let Some(pending) = core.requests.get(&request) else { return };
                 let last_attempt = match reason {
                     UnservedReason::AttemptFailed(outcome) => Some(outcome),
                     UnservedReason::Suppressed | UnservedReason::NoUpstream => None,
                 };
-                tracing::debug!(id = %held.client_id(), ?reason, ?last_attempt, "request ended unserved");
+                tracing::debug!(id = %pending.client_id(), ?reason, ?last_attempt, "request ended unserved");
             }
             Report::ListTrustChanged(level) => {
                 self.metrics.list_trust_changed(level);
                 tracing::info!(?level, "trust in the list changed");
             }
-            Report::Ejected { upstream, duration: span } => {
+            Report::Ejected { upstream, duration } => {
                 self.metrics.ejected();
-                tracing::debug!(upstream = name(upstream), span_ms = span.as_millis(), "upstream ejected");
+                tracing::debug!(
+                    upstream = name(upstream),
+                    span_ms = duration.as_millis(),
+                    "upstream ejected"
+                );
             }
         }
     }
@@ -537,45 +553,55 @@
         timeout: Option<Duration>,
         start_within: Duration,
     ) {
-        let Some(held) = core.requests.get_mut(&request) else { return };
-        let attempt = AttemptNumber(held.attempts.len() as u32);
-        let address = core.directory.ready_address(upstream).filter(|_| held.answer.is_some());
+        let Some(pending) = core.requests.get_mut(&request) else { return };
+        let attempt = AttemptNumber(pending.attempts.len() as u32);
+        let address = core.directory.ready_address(upstream).filter(|_| pending.answer_sender.is_some());
         let Some(address) = address else {
-            held.attempts.push(None);
-            let finished = held.answer.is_none();
+            pending.attempts.push(None);
+            let request_ended = pending.answer_sender.is_none();
             return core.events.push_back(Event::AttemptEnded(AttemptEnded {
                 request,
                 attempt,
                 outcome: Outcome::NotSent,
                 duration: Duration::ZERO,
-                request_ended: finished,
+                request_ended,
                 load: None,
             }));
         };
-        self.metrics.attempt_begun(attempt.0 > 0);
+        self.metrics.attempt_started(attempt.0 > 0);
         tracing::debug!(
-            id = %held.client_id(),
+            id = %pending.client_id(),
             attempt = attempt.0,
             upstream = core.directory.name(upstream).unwrap_or("unlisted"),
             "attempt begun"
         );
-        let asked = Instant::now();
-        let until = timeout.map_or(held.deadline, |span| held.deadline.min(asked + span));
-        let (end, ended) = oneshot::channel();
+        let requested_at = Instant::now();
+        let deadline =
+            timeout.map_or(pending.deadline, |timeout| pending.deadline.min(requested_at + timeout));
+        let (cancel, cancelled) = oneshot::channel();
         let progress = Rc::new(Progress::default());
-        held.attempts.push(Some(Out { upstream, end, progress: Rc::clone(&progress) }));
-        held.out += 1;
-        let call = Rc::clone(&held.call);
-        let start_by = until.min(asked + start_within);
-        let job = Job { request, attempt, upstream, address, call, asked, until, start_by };
-        spawn_local(upstream::attempt(Rc::clone(self), job, progress, ended));
+        pending.attempts.push(Some(InFlightAttempt { upstream, cancel, progress: Rc::clone(&progress) }));
+        pending.attempts_in_flight += 1;
+        let forwarded = Rc::clone(&pending.forwarded);
+        let latest_start = deadline.min(requested_at + start_within);
+        let spec = AttemptSpec {
+            request,
+            attempt,
+            upstream,
+            address,
+            forwarded,
+            requested_at,
+            deadline,
+            latest_start,
+        };
+        spawn_local(upstream::run_attempt(Rc::clone(self), spec, progress, cancelled));
     }
 }
 
 impl WatchEvents for Rc<Driver> {
     fn updated(&self, watch: WatchNumber, update: Update) {
         let current = self.core.borrow_mut().subscription.heard(watch, update.index);
-        self.take_list(&update, if current { Origin::Watch } else { Origin::FormerWatch });
+        self.apply_list(&update, if current { Origin::Watch } else { Origin::FormerWatch });
     }
 
     fn broke(&self, watch: WatchNumber, reason: &WatchError) {
@@ -592,21 +618,21 @@
     }
 
     fn reserve_descriptor(&self) -> Permit {
-        self.reserved_permit()
+        self.unconditional_permit()
     }
 }
 
-impl Held {
+impl PendingRequest {
     /// The id that the client gave, for the log.
     fn client_id(&self) -> impl Display {
-        self.call.id.as_bytes().escape_ascii()
+        self.forwarded.request_id.as_bytes().escape_ascii()
     }
 }
 
 impl Core {
     fn answer(&mut self, id: RequestId, answer: Answer) {
-        let Some(held) = self.requests.get_mut(&id) else { return };
-        if let Some(sender) = held.answer.take() {
+        let Some(pending) = self.requests.get_mut(&id) else { return };
+        if let Some(sender) = pending.answer_sender.take() {
             // A client that has just left is told of on its own way.
             let _ = sender.send(answer);
         }
@@ -615,10 +641,13 @@
 
     /// Forgets a request that has its answer and no attempt out.
     fn release(&mut self, id: RequestId) {
-        if self.requests.get(&id).is_some_and(|held| held.answer.is_none() && held.out == 0)
-            && let Some(held) = self.requests.remove(&id)
+        if self
+            .requests
+            .get(&id)
+            .is_some_and(|pending| pending.answer_sender.is_none() && pending.attempts_in_flight == 0)
+            && let Some(pending) = self.requests.remove(&id)
         {
-            self.open.remove(held.call.id.as_bytes());
+            self.client_ids.remove(pending.forwarded.request_id.as_bytes());
         }
     }
 }
--- a/proxy/src/driver/tests.rs
+++ b/proxy/src/driver/tests.rs
@@ -14,43 +14,45 @@
     }
 
     /// Takes in what the watch of that number tells.
-    pub(crate) fn learn(self: &Rc<Self>, number: u64, update: Update) {
+    pub(crate) fn apply_update(self: &Rc<Self>, number: u64, update: Update) {
         self.updated(WatchNumber(number), update);
     }
 }
 
 /// What discovery makes of a call.
 #[derive(Debug, Clone, Copy)]
-enum Trouble {
+enum Failure {
     /// Nothing listens.
-    Down,
+    Unreachable,
     Reset,
     /// Answers 503.
-    Crowded,
+    Overloaded,
     /// Takes the call and says nothing.
     Silent,
     /// Opens a watch that ends before its first word.
-    Ended,
+    EndsEarly,
     /// Opens a watch that falls silent after its first word.
-    FallsSilent,
+    StopsSending,
 }
 
-impl Trouble {
+impl Failure {
     const ALL: [Self; 6] =
-        [Self::Down, Self::Reset, Self::Crowded, Self::Silent, Self::Ended, Self::FallsSilent];
+        [Self::Unreachable, Self::Reset, Self::Overloaded, Self::Silent, Self::EndsEarly, Self::StopsSending];
 
-    async fn meet(self, mut stream: TcpStream) {
+    async fn handle_connection(self, mut stream: TcpStream) {
         let _ = stream.read(&mut [0; 1024]).await;
         let watch = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
         match self {
-            Self::Down | Self::Reset => SockRef::from(&stream).set_linger(Some(Duration::ZERO)).expect("set"),
-            Self::Crowded => {
+            Self::Unreachable | Self::Reset => {
+                SockRef::from(&stream).set_linger(Some(Duration::ZERO)).expect("set")
+            }
+            Self::Overloaded => {
                 let _ = stream.write_all(b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n").await;
             }
-            Self::Ended => {
+            Self::EndsEarly => {
                 let _ = stream.write_all(watch).await;
             }
-            Self::FallsSilent => {
+            Self::StopsSending => {
                 let _ = stream.write_all(&[&watch[..], b"1\r\n\n\r\n"].concat()).await;
                 std::future::pending().await
             }
@@ -64,27 +66,27 @@
 /// within that, be the last one refused, reset, turned away, silent or ended, and a
 /// watch that falls silent is opened anew as early. The clock is the test's.
 #[test]
-fn a_failed_call_to_discovery_is_made_again_within_what_counts_as_told() {
-    const TOLD: Duration = Duration::from_secs(6);
-    const ANSWER: Duration = Duration::from_millis(1500);
+fn a_failed_call_to_discovery_is_repeated_before_updates_count_as_late() {
+    const LATE_UPDATE_LIMIT: Duration = Duration::from_secs(6);
+    const ANSWER_TIME: Duration = Duration::from_millis(1500);
     let settings = [
         r#""discovery": "automatic""#,
         r#""discovery": "subscribe", "rules": {"askWithinS": 10.0,"#,
         r#""discovery": "subscribe", "rules": {"askWithinS": 60.0,"#,
     ];
-    for (trouble, settings) in
-        Trouble::ALL.into_iter().flat_map(|trouble| settings.map(|text| (trouble, text)))
+    for (failure, settings) in
+        Failure::ALL.into_iter().flat_map(|failure| settings.map(|text| (failure, text)))
     {
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().start_paused(true).build();
         tokio::task::LocalSet::new().block_on(&runtime.expect("starts"), async {
             let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
             let address = listener.local_addr().expect("bound");
-            if matches!(trouble, Trouble::Down) {
+            if matches!(failure, Failure::Unreachable) {
                 drop(listener);
             } else {
                 spawn_local(async move {
                     while let Ok((stream, _)) = listener.accept().await {
-                        spawn_local(trouble.meet(stream));
+                        spawn_local(failure.handle_connection(stream));
                     }
                 });
             }
@@ -95,16 +97,19 @@
                 .replace(r#""rules": {"#, rules);
             let driver = Driver::start(Config::parse(&text, |_| None).expect("sound")).expect("starts");
             let calls = || driver.core.borrow().subscription.number();
-            let (start, mut called, mut longest) = (Instant::now(), Instant::now(), Duration::ZERO);
-            let mut seen = calls();
+            let (start, mut last_call, mut longest_gap) = (Instant::now(), Instant::now(), Duration::ZERO);
+            let mut seen_calls = calls();
             while start.elapsed() < Duration::from_secs(300) {
                 sleep(Duration::from_millis(10)).await;
-                if calls() > seen {
-                    (seen, called) = (calls(), Instant::now());
+                if calls() > seen_calls {
+                    (seen_calls, last_call) = (calls(), Instant::now());
                 }
-                longest = longest.max(called.elapsed());
+                longest_gap = longest_gap.max(last_call.elapsed());
             }
-            assert!(longest + ANSWER <= TOLD, "{trouble:?}, {settings}: no call for {longest:?}");
+            assert!(
+                longest_gap + ANSWER_TIME <= LATE_UPDATE_LIMIT,
+                "{failure:?}, {settings}: no call for {longest_gap:?}"
+            );
         });
     }
 }
--- a/proxy/src/framing.rs
+++ b/proxy/src/framing.rs
@@ -17,92 +17,101 @@
 /// The head does not say with one voice where its request ends.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 #[error("the lengths contradict each other")]
-pub struct Ambiguous;
+pub struct AmbiguousLength;
 
 /// Bytes at most that are kept of what a client sends ahead of its answer: a head's. Clients send a single
 /// request at a time, and a memory of many must not fill.
-const AHEAD_MOST: usize = 16 * 1024;
+const MAX_READ_AHEAD_BYTES: usize = 16 * 1024;
 
 /// A client's bytes that belong to no request taken so far.
 #[derive(Debug, Default)]
-pub struct Unread {
+pub struct PendingInput {
     /// Those that hyper has read.
-    bytes: RefCell<Vec<u8>>,
+    received: RefCell<Vec<u8>>,
     /// Those that it has yet to read, taken from the socket ahead of it.
-    ahead: RefCell<Vec<u8>>,
+    read_ahead: RefCell<Vec<u8>>,
     /// There were more than are kept: what comes next can't be read as a request.
-    overrun: Cell<bool>,
+    read_ahead_overflowed: Cell<bool>,
     /// Bytes of the current request's body that are yet to come.
-    body_left: Cell<u64>,
+    body_remaining: Cell<u64>,
     /// When the first of the bytes came.
-    since: Cell<Option<Instant>>,
+    pending_since: Cell<Option<Instant>>,
 }
 
-impl Unread {
+impl PendingInput {
     /// When the request that is coming in began, if one is.
     #[must_use]
-    pub fn since(&self) -> Option<Instant> {
-        self.since.get()
+    pub fn pending_since(&self) -> Option<Instant> {
+        self.pending_since.get()
     }
 
     /// Takes out the request whose head hyper has just read.
     ///
     /// # Errors
     /// The head holds more than one length, or none that can be found.
-    pub fn take_request(&self) -> Result<(), Ambiguous> {
-        let mut bytes = self.bytes.borrow_mut();
-        self.since.set(None);
-        let head = read_head(&bytes).ok_or(Ambiguous)?;
+    pub fn consume_request(&self) -> Result<(), AmbiguousLength> {
+        let mut bytes = self.received.borrow_mut();
+        self.pending_since.set(None);
+        let head = parse_head(&bytes).ok_or(AmbiguousLength)?;
         match head {
-            Head { lengths: 0, encodings: 0, size, .. } => self.take(&mut bytes, size, 0),
-            Head { lengths: 1, encodings: 0, size, length: Some(length) } => {
-                self.take(&mut bytes, size, length);
+            HeadFraming { content_lengths: 0, transfer_encodings: 0, head_bytes, .. } => {
+                self.consume(&mut bytes, head_bytes, 0)
+            }
+            HeadFraming {
+                content_lengths: 1,
+                transfer_encodings: 0,
+                head_bytes,
+                content_length: Some(content_length),
+            } => {
+                self.consume(&mut bytes, head_bytes, content_length);
             }
             // Where a chunked body ends only hyper knows: its connection is not used again.
-            Head { lengths: 0, encodings: 1, .. } => self.take(&mut bytes, 0, u64::MAX),
-            _ => return Err(Ambiguous),
+            HeadFraming { content_lengths: 0, transfer_encodings: 1, .. } => {
+                self.consume(&mut bytes, 0, u64::MAX)
+            }
+            _ => return Err(AmbiguousLength),
         }
         Ok(())
     }
 
-    fn take(&self, bytes: &mut Vec<u8>, head: usize, body: u64) {
-        let here = bytes.len() - head;
-        let taken = usize::try_from(body).unwrap_or(usize::MAX).min(here);
-        self.body_left.set(body - taken as u64);
-        bytes.drain(..head + taken);
+    fn consume(&self, bytes: &mut Vec<u8>, head_bytes: usize, body_bytes: u64) {
+        let available = bytes.len() - head_bytes;
+        let consumed = usize::try_from(body_bytes).unwrap_or(usize::MAX).min(available);
+        self.body_remaining.set(body_bytes - consumed as u64);
+        bytes.drain(..head_bytes + consumed);
         if bytes.is_empty() {
             // A connection that stands idle holds no memory here.
             *bytes = Vec::new();
         } else {
-            self.since.set(Some(Instant::now()));
+            self.pending_since.set(Some(Instant::now()));
         }
     }
 
     /// Whether what stands behind the current request can't be the next one: then its length was wrong.
     #[must_use]
-    pub fn is_noise(&self) -> bool {
-        let bytes = self.bytes.borrow();
-        let rest = bytes.trim_ascii_start();
-        let begins = |method: &&[u8]| {
-            let shared = rest.len().min(method.len());
-            rest[..shared] == method[..shared]
+    pub fn is_followed_by_garbage(&self) -> bool {
+        let received = self.received.borrow();
+        let following = received.trim_ascii_start();
+        let may_start_with = |method: &&[u8]| {
+            let common_bytes = following.len().min(method.len());
+            following[..common_bytes] == method[..common_bytes]
         };
-        ![&b"GET "[..], b"POST "].iter().any(begins)
+        ![&b"GET "[..], b"POST "].iter().any(may_start_with)
     }
 
     /// Waits until the client of the request that is being answered has left. Hyper stops to read, and so to
     /// hear of it, once anything has come behind the request; so that is read here.
-    pub async fn left(&self, stream: &TcpStream) {
-        let mut piece = [0; 1024];
+    pub async fn client_disconnected(&self, stream: &TcpStream) {
+        let mut buffer = [0; 1024];
         while stream.readable().await.is_ok() {
-            match stream.try_read(&mut piece) {
+            match stream.try_read(&mut buffer) {
                 Ok(0) => return,
                 Ok(bytes) => {
-                    let mut ahead = self.ahead.borrow_mut();
-                    if ahead.len() + bytes > AHEAD_MOST {
-                        self.overrun.set(true);
+                    let mut read_ahead = self.read_ahead.borrow_mut();
+                    if read_ahead.len() + bytes > MAX_READ_AHEAD_BYTES {
+                        self.read_ahead_overflowed.set(true);
                     } else {
-                        ahead.extend_from_slice(&piece[..bytes]);
+                        read_ahead.extend_from_slice(&buffer[..bytes]);
                     }
                 }
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => {}
@@ -113,54 +122,55 @@
 
     /// Whether a part of what stands behind the current request was thrown away.
     #[must_use]
-    pub fn is_overrun(&self) -> bool {
-        self.overrun.get()
+    pub fn has_overflowed(&self) -> bool {
+        self.read_ahead_overflowed.get()
     }
 
-    fn came(&self, mut bytes: &[u8]) {
-        let body = usize::try_from(self.body_left.get()).unwrap_or(usize::MAX).min(bytes.len());
-        self.body_left.set(self.body_left.get() - body as u64);
-        bytes = &bytes[body..];
+    fn record(&self, mut bytes: &[u8]) {
+        let body_bytes = usize::try_from(self.body_remaining.get()).unwrap_or(usize::MAX).min(bytes.len());
+        self.body_remaining.set(self.body_remaining.get() - body_bytes as u64);
+        bytes = &bytes[body_bytes..];
         if !bytes.is_empty() {
-            if self.since.get().is_none() {
-                self.since.set(Some(Instant::now()));
+            if self.pending_since.get().is_none() {
+                self.pending_since.set(Some(Instant::now()));
             }
-            self.bytes.borrow_mut().extend_from_slice(bytes);
+            self.received.borrow_mut().extend_from_slice(bytes);
         }
     }
 }
 
 /// What a head says of lengths.
-struct Head {
+struct HeadFraming {
     /// Bytes of it, line ends before it included.
-    size: usize,
-    lengths: usize,
-    length: Option<u64>,
-    encodings: usize,
+    head_bytes: usize,
+    content_lengths: usize,
+    content_length: Option<u64>,
+    transfer_encodings: usize,
 }
 
 /// Reads a head that hyper has found sound.
-fn read_head(bytes: &[u8]) -> Option<Head> {
-    let mut head = Head { size: 0, lengths: 0, length: None, encodings: 0 };
-    let mut begun = false;
+fn parse_head(bytes: &[u8]) -> Option<HeadFraming> {
+    let mut head =
+        HeadFraming { head_bytes: 0, content_lengths: 0, content_length: None, transfer_encodings: 0 };
+    let mut seen_line = false;
     for line in bytes.split_inclusive(|&byte| byte == b'\n') {
-        head.size += line.len();
+        head.head_bytes += line.len();
         let line = line.strip_suffix(b"\n")?;
         let line = line.strip_suffix(b"\r").unwrap_or(line);
         if line.is_empty() {
-            if begun {
+            if seen_line {
                 return Some(head);
             }
             continue;
         }
-        begun = true;
+        seen_line = true;
         let Some(colon) = line.iter().position(|&byte| byte == b':') else { continue };
         let (name, value) = (&line[..colon], line[colon + 1..].trim_ascii());
         if name.eq_ignore_ascii_case(b"content-length") {
-            head.lengths += 1;
-            head.length = std::str::from_utf8(value).ok().and_then(|value| value.parse().ok());
+            head.content_lengths += 1;
+            head.content_length = std::str::from_utf8(value).ok().and_then(|value| value.parse().ok());
         } else if name.eq_ignore_ascii_case(b"transfer-encoding") {
-            head.encodings += 1;
+            head.transfer_encodings += 1;
         }
     }
     None
@@ -169,18 +179,18 @@
 /// A client's socket that notes what is read from it.
 pub struct InspectedStream {
     stream: Rc<TcpStream>,
-    unread: Rc<Unread>,
+    unread: Rc<PendingInput>,
 }
 
 impl InspectedStream {
     /// Notes in `unread` what is read from the socket.
     #[must_use]
-    pub fn new(stream: Rc<TcpStream>, unread: Rc<Unread>) -> Self {
+    pub fn new(stream: Rc<TcpStream>, unread: Rc<PendingInput>) -> Self {
         Self { stream, unread }
     }
 
     /// Writes with `write` as soon as the socket takes something.
-    fn poll_with(
+    fn poll_write_with(
         &self,
         context: &mut Context<'_>,
         write: impl Fn(&TcpStream) -> io::Result<usize>,
@@ -189,7 +199,7 @@
             ready!(self.stream.poll_write_ready(context))?;
             match write(&self.stream) {
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => {}
-                done => return Poll::Ready(done),
+                result => return Poll::Ready(result),
             }
         }
     }
@@ -201,12 +211,12 @@
         context: &mut Context<'_>,
         buffer: &mut ReadBuf<'_>,
     ) -> Poll<io::Result<()>> {
-        let mut ahead = self.unread.ahead.take();
-        if !ahead.is_empty() {
-            let rest = ahead.split_off(ahead.len().min(buffer.remaining()));
-            self.unread.ahead.replace(rest);
-            self.unread.came(&ahead);
-            buffer.put_slice(&ahead);
+        let mut read_ahead = self.unread.read_ahead.take();
+        if !read_ahead.is_empty() {
+            let remaining = read_ahead.split_off(read_ahead.len().min(buffer.remaining()));
+            self.unread.read_ahead.replace(remaining);
+            self.unread.record(&read_ahead);
+            buffer.put_slice(&read_ahead);
             return Poll::Ready(Ok(()));
         }
         loop {
@@ -214,7 +224,7 @@
             let unfilled = buffer.initialize_unfilled();
             match self.stream.try_read(unfilled) {
                 Ok(bytes) => {
-                    self.unread.came(&unfilled[..bytes]);
+                    self.unread.record(&unfilled[..bytes]);
                     buffer.advance(bytes);
                     return Poll::Ready(Ok(()));
                 }
@@ -227,7 +237,7 @@
 
 impl AsyncWrite for InspectedStream {
     fn poll_write(self: Pin<&mut Self>, context: &mut Context<'_>, bytes: &[u8]) -> Poll<io::Result<usize>> {
-        self.poll_with(context, |stream| stream.try_write(bytes))
+        self.poll_write_with(context, |stream| stream.try_write(bytes))
     }
 
     fn poll_flush(self: Pin<&mut Self>, _: &mut Context<'_>) -> Poll<io::Result<()>> {
@@ -243,7 +253,7 @@
         context: &mut Context<'_>,
         parts: &[io::IoSlice<'_>],
     ) -> Poll<io::Result<usize>> {
-        self.poll_with(context, |stream| stream.try_write_vectored(parts))
+        self.poll_write_with(context, |stream| stream.try_write_vectored(parts))
     }
 
     fn is_write_vectored(&self) -> bool {
--- a/proxy/src/framing/tests.rs
+++ b/proxy/src/framing/tests.rs
@@ -2,15 +2,15 @@
 
 use super::*;
 
-fn taken(text: &str) -> (Result<(), Ambiguous>, Unread) {
-    let unread = Unread::default();
-    unread.came(text.as_bytes());
-    (unread.take_request(), unread)
+fn consume(text: &str) -> (Result<(), AmbiguousLength>, PendingInput) {
+    let input = PendingInput::default();
+    input.record(text.as_bytes());
+    (input.consume_request(), input)
 }
 
 /// Guards against a request hidden in a body: each head that two readers could end at different places.
 #[test]
-fn two_lengths_are_one_too_many() {
+fn a_head_with_an_ambiguous_length_is_rejected() {
     for headers in [
         "Content-Length: 5\r\nTransfer-Encoding: chunked\r\n",
         "transfer-encoding: chunked\r\nCONTENT-LENGTH: 5\r\n",
@@ -18,23 +18,28 @@
         "Transfer-Encoding: chunked\r\nTransfer-Encoding: chunked\r\n",
         "Content-Length: 5, 5\r\n",
     ] {
-        assert_eq!(taken(&format!("POST / HTTP/1.1\r\n{headers}\r\n")).0, Err(Ambiguous), "{headers:?}");
+        assert_eq!(
+            consume(&format!("POST / HTTP/1.1\r\n{headers}\r\n")).0,
+            Err(AmbiguousLength),
+            "{headers:?}"
+        );
     }
-    assert_eq!(taken("POST / HTTP/1.1\r\nContent-Length: 5").0, Err(Ambiguous));
+    assert_eq!(consume("POST / HTTP/1.1\r\nContent-Length: 5").0, Err(AmbiguousLength));
 }
 
 /// Guards clients that send their next request early, and the count of what has been taken.
 #[test]
-fn what_stands_behind_a_request_is_known() {
-    for (behind, noise) in [("", false), ("GET /x HT", false), ("\r\nPO", false), ("lments", true)] {
-        let (sound, unread) = taken(&format!("\r\nPOST / HTTP/1.1\nContent-Length: 5\n\ninsta{behind}"));
-        assert_eq!((sound, unread.is_noise()), (Ok(()), noise), "{behind:?}");
-        assert_eq!(unread.since().is_some(), !behind.is_empty(), "{behind:?}");
+fn bytes_after_a_request_are_recognised() {
+    for (following, garbage) in [("", false), ("GET /x HT", false), ("\r\nPO", false), ("lments", true)] {
+        let (consumed, input) =
+            consume(&format!("\r\nPOST / HTTP/1.1\nContent-Length: 5\n\ninsta{following}"));
+        assert_eq!((consumed, input.is_followed_by_garbage()), (Ok(()), garbage), "{following:?}");
+        assert_eq!(input.pending_since().is_some(), !following.is_empty(), "{following:?}");
     }
-    let (sound, unread) = taken("POST / HTTP/1.1\r\nContent-Length: 9\r\n\r\ninsta");
-    assert!(sound.is_ok() && unread.since().is_none());
-    unread.came(b"lmen");
-    assert!(!unread.is_noise() && unread.since().is_none());
-    unread.came(b"ts");
-    assert!(unread.is_noise());
+    let (consumed, input) = consume("POST / HTTP/1.1\r\nContent-Length: 9\r\n\r\ninsta");
+    assert!(consumed.is_ok() && input.pending_since().is_none());
+    input.record(b"lmen");
+    assert!(!input.is_followed_by_garbage() && input.pending_since().is_none());
+    input.record(b"ts");
+    assert!(input.is_followed_by_garbage());
 }
--- a/proxy/src/main.rs
+++ b/proxy/src/main.rs
@@ -28,15 +28,15 @@
             let mut terminate = signal(SignalKind::terminate())?;
             let mut interrupt = signal(SignalKind::interrupt())?;
             let hangup = signal(SignalKind::hangup())?;
-            let (replacing, replaced) = unbounded_channel();
-            spawn_local(reload(hangup, replacing));
+            let (reload_sender, reloads) = unbounded_channel();
+            spawn_local(reload_on_hangup(hangup, reload_sender));
             let stop = async move {
                 tokio::select! {
                     _ = terminate.recv() => {}
                     _ = interrupt.recv() => {}
                 }
             };
-            server::serve(config, replaced, stop).await
+            server::serve(config, reloads, stop).await
         })
     });
     match served {
@@ -49,9 +49,9 @@
 }
 
 /// At each SIGHUP reads the configuration that has replaced the old one.
-async fn reload(mut hangup: Signal, replacing: UnboundedSender<Result<Config, ConfigError>>) {
+async fn reload_on_hangup(mut hangup: Signal, reload_sender: UnboundedSender<Result<Config, ConfigError>>) {
     while hangup.recv().await.is_some() {
-        if replacing.send(Config::replaced()).is_err() {
+        if reload_sender.send(Config::replaced()).is_err() {
             return;
         }
     }
--- a/proxy/src/metrics.rs
+++ b/proxy/src/metrics.rs
@@ -249,8 +249,8 @@
     }
 
     /// An attempt has begun; `further` if its request had one before.
-    pub fn attempt_begun(&self, further: bool) {
-        if further {
+    pub fn attempt_started(&self, is_further: bool) {
+        if is_further {
             self.further_attempts.inc();
         }
     }
@@ -276,7 +276,7 @@
     }
 
     /// Discovery is asked for a watch.
-    pub fn watch_asked(&self) {
+    pub fn watch_requested(&self) {
         self.watches.inc();
     }
 
@@ -299,7 +299,7 @@
     }
 
     /// The state at this moment.
-    pub fn measured(&self, requests_open: usize, descriptors: usize) {
+    pub fn set_usage(&self, requests_open: usize, descriptors: usize) {
         self.requests_open.set(requests_open as i64);
         self.descriptors.set(descriptors as i64);
     }
--- a/proxy/src/permit.rs
+++ b/proxy/src/permit.rs
@@ -10,9 +10,9 @@
 impl Permit {
     /// Counts one more in `sockets`.
     #[must_use]
-    pub fn of(sockets: &Rc<Cell<usize>>) -> Self {
-        sockets.set(sockets.get() + 1);
-        Self(Rc::clone(sockets))
+    pub fn acquire(open_sockets: &Rc<Cell<usize>>) -> Self {
+        open_sockets.set(open_sockets.get() + 1);
+        Self(Rc::clone(open_sockets))
     }
 }
 
--- a/proxy/src/upstream.rs
+++ b/proxy/src/upstream.rs
@@ -31,15 +31,15 @@
 use crate::permit::Permit;
 
 /// Bytes of a body at most, either way.
-pub const BODY_MOST: usize = 64 * 1024;
+pub const MAX_BODY_BYTES: usize = 64 * 1024;
 /// Bytes of an answer's head at most, and so of the buffer that hyper keeps for a connection.
-const HEAD_MOST: usize = 16 * 1024;
+const MAX_HEAD_BYTES: usize = 16 * 1024;
 /// Bytes that may come in for one request: a body in the smallest chunks that are still sensible, and some
 /// interim answers before it. More is an answer that does not end.
-const ANSWER_MOST: u64 = 512 * 1024;
+const MAX_ANSWER_BYTES: u64 = 512 * 1024;
 /// How long a connection may take to be ready again after an answer. One whose upstream answered without
 /// reading the request to its end never is.
-const SETTLE: Duration = Duration::from_secs(1);
+const READY_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// Why there is no connection.
 #[derive(Debug, Error)]
@@ -57,11 +57,11 @@
 
 /// Where to connect and how long to wait for it.
 #[derive(Debug, Clone, Copy)]
-pub struct Dial {
+pub struct ConnectTarget {
     /// The address.
     pub address: SocketAddr,
     /// The longest wait.
-    pub patience: Duration,
+    pub timeout: Duration,
 }
 
 /// An open connection. Dropping it closes the socket, whatever is still under way on it: an attempt that is
@@ -92,22 +92,22 @@
 ///
 /// # Errors
 /// It does not come up.
-pub async fn connect(permit: Permit, dial: Dial) -> Result<Connection, ConnectError> {
-    let stream = timeout(dial.patience, TcpStream::connect(dial.address))
+pub async fn connect(permit: Permit, target: ConnectTarget) -> Result<Connection, ConnectError> {
+    let stream = timeout(target.timeout, TcpStream::connect(target.address))
         .await
         .map_err(|_| ConnectError::TimedOut)??;
-    open(permit, stream).await
+    start_http(permit, stream).await
 }
 
 /// Makes a connection of a stream that has come up.
-async fn open(permit: Permit, stream: TcpStream) -> Result<Connection, ConnectError> {
+async fn start_http(permit: Permit, stream: TcpStream) -> Result<Connection, ConnectError> {
     // Without it requests may wait for acknowledgements; one that can't be set is no reason to hang up, as the
     // upstream has paid for the connection, and for each that would be opened in its place.
     let _ = stream.set_nodelay(true);
-    let traffic = Rc::new(Traffic { written: Cell::new(0), may_read: Cell::new(u64::MAX) });
-    let io = Counted { stream, traffic: Rc::clone(&traffic), _permit: permit };
+    let traffic = Rc::new(Traffic { written_bytes: Cell::new(0), read_allowance: Cell::new(u64::MAX) });
+    let io = CountedStream { stream, traffic: Rc::clone(&traffic), _permit: permit };
     let (sender, connection) =
-        http1::Builder::new().max_buf_size(HEAD_MOST).handshake(TokioIo::new(io)).await?;
+        http1::Builder::new().max_buf_size(MAX_HEAD_BYTES).handshake(TokioIo::new(io)).await?;
     let task = tokio::task::spawn_local(async move {
         // How it ends shows in the request that is out on it, if one is.
         let _ = connection.await;
@@ -119,30 +119,30 @@
 #[derive(Debug)]
 struct Traffic {
     /// Bytes of the request that the socket has taken: what was never written whole never ran.
-    written: Cell<u64>,
+    written_bytes: Cell<u64>,
     /// Bytes that may still be read.
-    may_read: Cell<u64>,
+    read_allowance: Cell<u64>,
 }
 
 impl Traffic {
     fn begin_request(&self) {
-        self.written.set(0);
-        self.may_read.set(ANSWER_MOST);
+        self.written_bytes.set(0);
+        self.read_allowance.set(MAX_ANSWER_BYTES);
     }
 }
 
 /// A socket that counts.
-struct Counted {
+struct CountedStream {
     stream: TcpStream,
     traffic: Rc<Traffic>,
     _permit: Permit,
 }
 
-impl Counted {
+impl CountedStream {
     /// Nothing that has come before a request may answer it: not what was left over from the one before, nor
     /// what came since. The socket itself is asked, as the runtime may not have heard of it yet.
-    fn check(&self) -> io::Result<()> {
-        if self.traffic.written.get() > 0 {
+    fn check_nothing_received(&self) -> io::Result<()> {
+        if self.traffic.written_bytes.get() > 0 {
             return Ok(());
         }
         match SockRef::from(&self.stream).peek(&mut [MaybeUninit::uninit()]) {
@@ -154,24 +154,24 @@
         }
     }
 
-    fn count(&self, done: Poll<io::Result<usize>>) -> Poll<io::Result<usize>> {
-        let bytes = ready!(done)?;
-        self.traffic.written.set(self.traffic.written.get() + bytes as u64);
+    fn count_written(&self, result: Poll<io::Result<usize>>) -> Poll<io::Result<usize>> {
+        let bytes = ready!(result)?;
+        self.traffic.written_bytes.set(self.traffic.written_bytes.get() + bytes as u64);
         Poll::Ready(Ok(bytes))
     }
 }
 
-impl AsyncRead for Counted {
+impl AsyncRead for CountedStream {
     fn poll_read(
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
         buffer: &mut ReadBuf<'_>,
     ) -> Poll<io::Result<()>> {
-        let before = buffer.filled().len();
+        let filled_before = buffer.filled().len();
         ready!(Pin::new(&mut self.stream).poll_read(context, buffer))?;
-        let bytes = (buffer.filled().len() - before) as u64;
-        match self.traffic.may_read.get().checked_sub(bytes) {
-            Some(left) => self.traffic.may_read.set(left),
+        let bytes = (buffer.filled().len() - filled_before) as u64;
+        match self.traffic.read_allowance.get().checked_sub(bytes) {
+            Some(remaining) => self.traffic.read_allowance.set(remaining),
             None => {
                 return Poll::Ready(Err(io::Error::new(
                     io::ErrorKind::InvalidData,
@@ -183,15 +183,15 @@
     }
 }
 
-impl AsyncWrite for Counted {
+impl AsyncWrite for CountedStream {
     fn poll_write(
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
         bytes: &[u8],
     ) -> Poll<io::Result<usize>> {
-        self.check()?;
-        let done = Pin::new(&mut self.stream).poll_write(context, bytes);
-        self.count(done)
+        self.check_nothing_received()?;
+        let result = Pin::new(&mut self.stream).poll_write(context, bytes);
+        self.count_written(result)
     }
 
     fn poll_flush(mut self: Pin<&mut Self>, context: &mut Context<'_>) -> Poll<io::Result<()>> {
@@ -207,9 +207,9 @@
         context: &mut Context<'_>,
         parts: &[io::IoSlice<'_>],
     ) -> Poll<io::Result<usize>> {
-        self.check()?;
-        let done = Pin::new(&mut self.stream).poll_write_vectored(context, parts);
-        self.count(done)
+        self.check_nothing_received()?;
+        let result = Pin::new(&mut self.stream).poll_write_vectored(context, parts);
+        self.count_written(result)
     }
 
     fn is_write_vectored(&self) -> bool {
@@ -219,7 +219,7 @@
 
 /// What of a client's request goes on to upstreams, the same in each attempt.
 #[derive(Debug)]
-pub struct Call {
+pub struct ForwardedRequest {
     /// The method.
     pub method: Method,
     /// Path and query.
@@ -227,22 +227,22 @@
     /// `Host`.
     pub host: HeaderValue,
     /// `X-Request-Id`.
-    pub id: HeaderValue,
+    pub request_id: HeaderValue,
     /// `Idempotency-Key`.
-    pub key: Option<HeaderValue>,
+    pub idempotency_key: Option<HeaderValue>,
     /// The body.
     pub body: Bytes,
 }
 
-impl Call {
-    fn request(&self, time_left: Duration) -> Request<Full<Bytes>> {
+impl ForwardedRequest {
+    fn to_http(&self, time_left: Duration) -> Request<Full<Bytes>> {
         let mut request = Request::new(Full::new(self.body.clone()));
         *request.method_mut() = self.method.clone();
         *request.uri_mut() = self.uri.clone();
         let headers = request.headers_mut();
         headers.insert(HOST, self.host.clone());
-        headers.insert("x-request-id", self.id.clone());
-        if let Some(key) = &self.key {
+        headers.insert("x-request-id", self.request_id.clone());
+        if let Some(key) = &self.idempotency_key {
             headers.insert("idempotency-key", key.clone());
         }
         if let Ok(value) = HeaderValue::from_str(&format!("{:.3}", time_left.as_secs_f64())) {
@@ -257,7 +257,7 @@
 
 /// Bytes of a request on the socket, as few as they can be: counted low, so that a doubt is settled as 'may
 /// have run'.
-fn size_on_wire(request: &Request<Full<Bytes>>, body: usize) -> u64 {
+fn min_bytes_on_wire(request: &Request<Full<Bytes>>, body_bytes: usize) -> u64 {
     let path = request.uri().path_and_query().map_or(1, |path| path.as_str().len());
     let line = request.method().as_str().len() + 1 + path + " HTTP/1.1\r\n".len();
     let headers: usize = request
@@ -265,12 +265,12 @@
         .iter()
         .map(|(name, value)| name.as_str().len() + value.len() + ": \r\n".len())
         .sum();
-    (line + headers + "\r\n".len() + body) as u64
+    (line + headers + "\r\n".len() + body_bytes) as u64
 }
 
 /// An attempt to make.
 #[derive(Debug)]
-pub struct Job {
+pub struct AttemptSpec {
     /// The request.
     pub request: RequestId,
     /// The attempt.
@@ -280,18 +280,18 @@
     /// Its address.
     pub address: SocketAddr,
     /// What to send.
-    pub call: Rc<Call>,
+    pub forwarded: Rc<ForwardedRequest>,
     /// When it was asked for.
-    pub asked: Instant,
+    pub requested_at: Instant,
     /// When it is given up.
-    pub until: Instant,
+    pub deadline: Instant,
     /// When its sending must have begun.
-    pub start_by: Instant,
+    pub latest_start: Instant,
 }
 
 /// How an attempt ended.
 #[derive(Debug)]
-pub struct Ended {
+pub struct AttemptResult {
     /// The outcome.
     pub outcome: Outcome,
     /// The answer's body, if served.
@@ -300,7 +300,7 @@
     pub load: Option<LoadReport>,
 }
 
-impl From<Outcome> for Ended {
+impl From<Outcome> for AttemptResult {
     fn from(outcome: Outcome) -> Self {
         Self { outcome, body: None, load: None }
     }
@@ -310,97 +310,110 @@
 #[derive(Debug)]
 pub struct Progress {
     traffic: RefCell<Option<Rc<Traffic>>>,
-    size: Cell<u64>,
+    request_bytes: Cell<u64>,
     /// When its latest connection was up and it began to go out.
-    sent: Cell<Option<Instant>>,
+    send_started_at: Cell<Option<Instant>>,
 }
 
 impl Default for Progress {
     fn default() -> Self {
         // Before anything is sent, no size is reached.
-        Self { traffic: RefCell::default(), size: Cell::new(u64::MAX), sent: Cell::default() }
+        Self {
+            traffic: RefCell::default(),
+            request_bytes: Cell::new(u64::MAX),
+            send_started_at: Cell::default(),
+        }
     }
 }
 
 impl Progress {
     /// Whether the last byte is written, so that it may run.
     #[must_use]
-    pub fn whole(&self) -> bool {
-        self.written() >= self.size.get()
+    pub fn is_fully_written(&self) -> bool {
+        self.written_bytes() >= self.request_bytes.get()
     }
 
     /// Whether its first byte is written.
     #[must_use]
-    pub fn begun(&self) -> bool {
-        self.written() > 0
+    pub fn has_begun(&self) -> bool {
+        self.written_bytes() > 0
     }
 
     /// How long the upstream has had the request. What its connection took to come up tells of the way there and
     /// not of its work: counted in, connections that come up late would pass for congestion.
     #[must_use]
-    pub fn took(&self, asked: Instant) -> Duration {
-        self.sent.get().unwrap_or(asked).elapsed()
+    pub fn time_at_upstream(&self, requested_at: Instant) -> Duration {
+        self.send_started_at.get().unwrap_or(requested_at).elapsed()
     }
 
-    fn written(&self) -> u64 {
-        self.traffic.borrow().as_ref().map_or(0, |traffic| traffic.written.get())
+    fn written_bytes(&self) -> u64 {
+        self.traffic.borrow().as_ref().map_or(0, |traffic| traffic.written_bytes.get())
     }
 }
 
 /// Makes an attempt and tells the driver how it ended; `end` ends it from outside.
-pub async fn attempt(driver: Rc<Driver>, job: Job, progress: Rc<Progress>, end: oneshot::Receiver<Outcome>) {
-    let (ended, connection) = run(&driver, &job, &progress, end).await;
-    driver.attempt_ended(&job, progress.took(job.asked), ended);
+pub async fn run_attempt(
+    driver: Rc<Driver>,
+    spec: AttemptSpec,
+    progress: Rc<Progress>,
+    cancelled: oneshot::Receiver<Outcome>,
+) {
+    let (result, connection) = await_result(&driver, &spec, &progress, cancelled).await;
+    driver.attempt_ended(&spec, progress.time_at_upstream(spec.requested_at), result);
     // The answer goes out first; then the connection is made ready for the next request.
     if let Some(mut connection) = connection
-        && let Ok(Ok(())) = timeout(SETTLE, connection.sender.ready()).await
+        && let Ok(Ok(())) = timeout(READY_TIMEOUT, connection.sender.ready()).await
     {
-        driver.keep(job.upstream, job.address, connection);
+        driver.store_idle(spec.upstream, spec.address, connection);
     }
 }
 
 /// Runs an attempt until it has its outcome, its time is up or `end` ends it; its connection comes back if it may
 /// carry another request.
-async fn run(
+async fn await_result(
     driver: &Rc<Driver>,
-    job: &Job,
+    spec: &AttemptSpec,
     progress: &Progress,
-    end: oneshot::Receiver<Outcome>,
-) -> (Ended, Option<Connection>) {
-    let mut exchange = pin!(timeout_at(job.until, exchange(driver, job, progress)));
-    let done = tokio::select! {
+    cancelled: oneshot::Receiver<Outcome>,
+) -> (AttemptResult, Option<Connection>) {
+    let mut exchange = pin!(timeout_at(spec.deadline, exchange(driver, spec, progress)));
+    let finished = tokio::select! {
         biased;
-        done = exchange.as_mut() => done,
-        told = end => match told {
+        finished = exchange.as_mut() => finished,
+        outcome = cancelled => match outcome {
             // Told as it waited for its connection, and written whole before its turn: it runs, and is waited for.
-            Ok(Outcome::ConnectFailed) if progress.whole() => exchange.await,
+            Ok(Outcome::ConnectFailed) if progress.is_fully_written() => exchange.await,
             Ok(outcome) => return (outcome.into(), None),
             // Nobody ends it any more.
             Err(_) => exchange.await,
         },
     };
-    done.unwrap_or_else(|_| {
+    finished.unwrap_or_else(|_| {
         // The exchange is over, and its connection closed with it: before its last byte was written, it never runs.
-        let outcome = if progress.whole() { Outcome::TimedOut } else { Outcome::ConnectFailed };
+        let outcome = if progress.is_fully_written() { Outcome::TimedOut } else { Outcome::ConnectFailed };
         (outcome.into(), None)
     })
 }
 
-async fn exchange(driver: &Rc<Driver>, job: &Job, progress: &Progress) -> (Ended, Option<Connection>) {
+async fn exchange(
+    driver: &Rc<Driver>,
+    spec: &AttemptSpec,
+    progress: &Progress,
+) -> (AttemptResult, Option<Connection>) {
     loop {
-        let kept = driver.take_idle(job.upstream);
-        let fresh = kept.is_none();
-        let mut connection = match kept {
+        let idle = driver.take_idle(spec.upstream);
+        let is_new = idle.is_none();
+        let mut connection = match idle {
             Some(connection) => connection,
             None => {
-                let patience = job.start_by.saturating_duration_since(Instant::now());
-                let dial = Dial {
-                    address: job.address,
-                    patience: driver.in_force().connect_timeout().min(patience),
+                let time_to_start = spec.latest_start.saturating_duration_since(Instant::now());
+                let target = ConnectTarget {
+                    address: spec.address,
+                    timeout: driver.in_force().connect_timeout().min(time_to_start),
                 };
                 // Short of sockets is no fault of the upstream's.
-                let Some(permit) = driver.permit() else { return (Outcome::NotSent.into(), None) };
-                match connect(permit, dial).await {
+                let Some(permit) = driver.try_permit() else { return (Outcome::NotSent.into(), None) };
+                match connect(permit, target).await {
                     Ok(connection) => connection,
                     Err(_) => return (Outcome::ConnectFailed.into(), None),
                 }
@@ -408,25 +421,25 @@
         };
         // While it connected, the upstream may have begun to drain, or gone: nothing new goes there. Nor does a
         // repeat once the upstreams may have forgotten what they would know it by.
-        if !driver.may_send(job.upstream, job.address) || Instant::now() > job.start_by {
+        if !driver.accepts_new_requests(spec.upstream, spec.address) || Instant::now() > spec.latest_start {
             return (Outcome::ConnectFailed.into(), None);
         }
-        let request = job.call.request(job.until.saturating_duration_since(Instant::now()));
-        progress.sent.set(Some(Instant::now()));
-        progress.size.set(size_on_wire(&request, job.call.body.len()));
+        let request = spec.forwarded.to_http(spec.deadline.saturating_duration_since(Instant::now()));
+        progress.send_started_at.set(Some(Instant::now()));
+        progress.request_bytes.set(min_bytes_on_wire(&request, spec.forwarded.body.len()));
         connection.traffic.begin_request();
         progress.traffic.replace(Some(Rc::clone(&connection.traffic)));
         if let Ok(response) = connection.sender.send_request(request).await {
-            return match read(driver, response).await {
-                Some(ended) => (ended, Some(connection)),
+            return match read_answer(driver, response).await {
+                Some(result) => (result, Some(connection)),
                 None => (Outcome::Reset.into(), None),
             };
         }
         // A kept connection that turns out closed, or spoilt, before a byte went out has sent nothing.
-        if !fresh && !progress.begun() {
+        if !is_new && !progress.has_begun() {
             continue;
         }
-        let outcome = if progress.whole() { Outcome::Reset } else { Outcome::ConnectFailed };
+        let outcome = if progress.is_fully_written() { Outcome::Reset } else { Outcome::ConnectFailed };
         return (outcome.into(), None);
     }
 }
@@ -437,35 +450,35 @@
 /// # Errors
 /// It is longer than bodies are, or breaks off.
 pub async fn read_body(body: Incoming) -> Result<Bytes, Box<dyn Error + Send + Sync>> {
-    let mut body = Limited::new(body, BODY_MOST);
-    let mut whole = Vec::new();
+    let mut body = Limited::new(body, MAX_BODY_BYTES);
+    let mut bytes = Vec::new();
     while let Some(frame) = body.frame().await {
         if let Ok(data) = frame?.into_data() {
-            whole.extend_from_slice(&data);
+            bytes.extend_from_slice(&data);
         }
     }
-    Ok(whole.into())
+    Ok(bytes.into())
 }
 
 /// Reads an answer to its end; `None` if it is spoilt: it breaks off, is longer than answers are, or says where it
 /// ends in a way that may be misread. Whatever it said before, its request may have run.
-async fn read(driver: &Driver, response: Response<Incoming>) -> Option<Ended> {
+async fn read_answer(driver: &Driver, response: Response<Incoming>) -> Option<AttemptResult> {
     let (head, body) = response.into_parts();
-    let load = head.headers.get("x-load").and_then(|value| load_report(driver, value));
+    let load = head.headers.get("x-load").and_then(|value| parse_load_report(driver, value));
     // A 503 without the mark, an upstream's own or of a tier behind it, may have run.
     let not_run = matches!(head.status, StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT)
         && head.headers.get("x-not-run").is_some_and(|value| value.as_bytes() == b"1");
-    let mut codings = head.headers.get_all(TRANSFER_ENCODING).iter();
-    let ends = match (codings.next(), codings.next()) {
+    let mut transfer_encodings = head.headers.get_all(TRANSFER_ENCODING).iter();
+    let has_clear_end = match (transfer_encodings.next(), transfer_encodings.next()) {
         // Without a length it ends with its connection, if that ends in order: a reset is an error of the body.
         (None, _) => true,
-        (Some(coding), None) => {
-            coding.as_bytes().eq_ignore_ascii_case(b"chunked") && !head.headers.contains_key(CONTENT_LENGTH)
+        (Some(encoding), None) => {
+            encoding.as_bytes().eq_ignore_ascii_case(b"chunked") && !head.headers.contains_key(CONTENT_LENGTH)
         }
         // Of several only the last would be looked at.
         (Some(_), Some(_)) => false,
     };
-    if !ends || body.size_hint().lower() > BODY_MOST as u64 {
+    if !has_clear_end || body.size_hint().lower() > MAX_BODY_BYTES as u64 {
         return None;
     }
     let body = read_body(body).await.ok()?;
@@ -474,11 +487,11 @@
         _ if not_run => Outcome::Refused,
         _ => Outcome::Error,
     };
-    Some(Ended { outcome, body: (outcome == Outcome::Good).then_some(body), load })
+    Some(AttemptResult { outcome, body: (outcome == Outcome::Good).then_some(body), load })
 }
 
 /// Reads `name=value,name=value`.
-fn load_report(driver: &Driver, value: &HeaderValue) -> Option<LoadReport> {
+fn parse_load_report(driver: &Driver, value: &HeaderValue) -> Option<LoadReport> {
     let in_force = driver.in_force();
     let mut report = LoadReport::default();
     for part in value.to_str().ok()?.split(',') {
--- a/proxy/src/upstream/tests.rs
+++ b/proxy/src/upstream/tests.rs
@@ -5,13 +5,13 @@
 use crate::config::tests::CONFIGURATION;
 use tokio::io::{AsyncReadExt, AsyncWriteExt, duplex};
 
-fn call(method: Method, body: &'static [u8]) -> Call {
-    Call {
-        key: (method == Method::POST).then(|| HeaderValue::from_static("k-1")),
+fn forwarded(method: Method, body: &'static [u8]) -> ForwardedRequest {
+    ForwardedRequest {
+        idempotency_key: (method == Method::POST).then(|| HeaderValue::from_static("k-1")),
         method,
         uri: Uri::from_static("/order?k=7f"),
         host: HeaderValue::from_static("origin.svc"),
-        id: HeaderValue::from_static("r-1"),
+        request_id: HeaderValue::from_static("r-1"),
         body: Bytes::from_static(body),
     }
 }
@@ -19,12 +19,13 @@
 /// Guards the line between 'never ran' and 'may have run': the size reckoned beforehand is what goes out,
 /// so that a request short of one byte is known to be.
 #[test]
-fn the_size_reckoned_is_what_is_written() {
+fn the_computed_size_is_what_is_written() {
     let runtime = tokio::runtime::Builder::new_current_thread().build().expect("starts");
-    let calls = [call(Method::GET, b""), call(Method::POST, b""), call(Method::POST, b"instalments")];
-    for call in calls {
-        let request = call.request(Duration::from_millis(2500));
-        let size = size_on_wire(&request, call.body.len());
+    let requests =
+        [forwarded(Method::GET, b""), forwarded(Method::POST, b""), forwarded(Method::POST, b"instalments")];
+    for forwarded in requests {
+        let request = forwarded.to_http(Duration::from_millis(2500));
+        let size = min_bytes_on_wire(&request, forwarded.body.len());
         let written = runtime.block_on(async {
             let (near, mut far) = duplex(1 << 16);
             let (mut sender, connection) =
@@ -43,38 +44,38 @@
             answer.expect("an answer");
             written
         });
-        assert_eq!(written as u64, size, "{:?}", call.method);
+        assert_eq!(written as u64, size, "{:?}", forwarded.method);
     }
 }
 
 /// Guards a request against being answered by what was left over: bytes that have come before its first
 /// byte is written keep it from going out, also where the runtime has not yet heard of them.
 #[test]
-fn nothing_is_written_after_stray_bytes() {
+fn nothing_is_written_after_unsolicited_bytes() {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("starts");
     runtime.block_on(async {
         let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.expect("a free port");
         let near = TcpStream::connect(listener.local_addr().expect("bound")).await.expect("accepted");
         let far = listener.accept().await.expect("comes").0.into_std().expect("free");
-        let traffic = Rc::new(Traffic { written: Cell::new(0), may_read: Cell::new(u64::MAX) });
+        let traffic = Rc::new(Traffic { written_bytes: Cell::new(0), read_allowance: Cell::new(u64::MAX) });
         let sockets = Rc::new(Cell::new(1));
-        let _permit = Permit::of(&sockets);
-        let mut near = Counted { stream: near, traffic, _permit };
+        let _permit = Permit::acquire(&sockets);
+        let mut near = CountedStream { stream: near, traffic, _permit };
         assert_eq!(near.write(b"GET").await.expect("clean"), 3);
         near.traffic.begin_request();
         std::io::Write::write_all(&mut &far, b"HTTP/1.1 200 OK\r\n").expect("written");
-        while near.check().is_ok() {
+        while near.check_nothing_received().is_ok() {
             std::thread::yield_now();
         }
         assert!(near.write(b"GET").await.is_err());
-        assert_eq!(near.traffic.written.get(), 0);
+        assert_eq!(near.traffic.written_bytes.get(), 0);
     });
 }
 
 /// Guards connections that are up: one whose socket does not take an option carries requests all the same.
 /// A Unix socket stands in for it, as it knows nothing of `TCP_NODELAY`.
 #[test]
-fn a_connection_is_kept_though_an_option_cannot_be_set() {
+fn a_connection_is_used_although_a_socket_option_cannot_be_set() {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("starts");
     tokio::task::LocalSet::new().block_on(&runtime, async {
         let (near, far) = std::os::unix::net::UnixStream::pair().expect("free");
@@ -85,13 +86,13 @@
         assert!(near.set_nodelay(true).is_err());
         let mut far = tokio::net::UnixStream::from_std(far).expect("not blocking");
         let sockets = Rc::new(Cell::new(0));
-        let mut connection = open(Permit::of(&sockets), near).await.expect("it is up");
+        let mut connection = start_http(Permit::acquire(&sockets), near).await.expect("it is up");
         connection.traffic.begin_request();
         let upstream = async {
             let _ = far.read(&mut [0; 1024]).await.expect("a request comes");
             far.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n").await.expect("open");
         };
-        let request = call(Method::GET, b"").request(Duration::from_secs(1));
+        let request = forwarded(Method::GET, b"").to_http(Duration::from_secs(1));
         let (answer, ()) = tokio::join!(connection.sender.send_request(request), upstream);
         assert_eq!(answer.expect("an answer").status(), StatusCode::OK);
     });
@@ -99,40 +100,40 @@
 
 /// Guards the same line for an attempt that is given up half-way.
 #[test]
-fn a_request_is_whole_with_its_last_byte() {
+fn a_request_is_fully_written_with_its_last_byte() {
     let progress = Progress::default();
-    assert!(!progress.whole() && !progress.begun());
-    let traffic = Rc::new(Traffic { written: Cell::new(0), may_read: Cell::new(0) });
-    progress.size.set(200);
+    assert!(!progress.is_fully_written() && !progress.has_begun());
+    let traffic = Rc::new(Traffic { written_bytes: Cell::new(0), read_allowance: Cell::new(0) });
+    progress.request_bytes.set(200);
     progress.traffic.replace(Some(Rc::clone(&traffic)));
-    assert!(!progress.whole() && !progress.begun());
-    traffic.written.set(199);
-    assert!(!progress.whole() && progress.begun());
-    traffic.written.set(200);
-    assert!(progress.whole());
+    assert!(!progress.is_fully_written() && !progress.has_begun());
+    traffic.written_bytes.set(199);
+    assert!(!progress.is_fully_written() && progress.has_begun());
+    traffic.written_bytes.set(200);
+    assert!(progress.is_fully_written());
 }
 
 /// A driver whose list names one upstream, and an attempt to make there.
-fn job_at(address: SocketAddr) -> (Rc<Driver>, Job) {
+fn spec_at(address: SocketAddr) -> (Rc<Driver>, AttemptSpec) {
     let text = CONFIGURATION.replace(r#""tryLimit": 3"#, r#""tryLimit": 3, "dialTimeoutS": 30"#);
     let driver = Driver::start(Config::parse(&text, |_| None).expect("sound")).expect("starts");
     let listed = format!(
         r#"{{"snapshot": true, "endpoints": [
         {{"name": "s-1", "address": "{address}", "status": "ready"}}]}}"#
     );
-    driver.learn(0, serde_json::from_str(&listed).expect("a list"));
-    let asked = Instant::now();
-    let job = Job {
+    driver.apply_update(0, serde_json::from_str(&listed).expect("a list"));
+    let requested_at = Instant::now();
+    let spec = AttemptSpec {
         request: RequestId(1),
         attempt: AttemptNumber(0),
         upstream: driver.number_of("s-1"),
         address,
-        call: Rc::new(call(Method::GET, b"")),
-        asked,
-        until: asked + Duration::from_secs(30),
-        start_by: asked + Duration::from_secs(30),
+        forwarded: Rc::new(forwarded(Method::GET, b"")),
+        requested_at,
+        deadline: requested_at + Duration::from_secs(30),
+        latest_start: requested_at + Duration::from_secs(30),
     };
-    (driver, job)
+    (driver, spec)
 }
 
 /// Polls a future once.
@@ -143,7 +144,7 @@
 /// Found on zone+brink: connections that came up late passed for congestion and cut the limits. The time of an
 /// attempt counts from when its connection was up; of one that never was, from when it was asked for.
 #[test]
-fn the_time_of_an_attempt_leaves_out_its_connection() {
+fn the_time_of_an_attempt_excludes_connecting() {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("starts");
     tokio::task::LocalSet::new().block_on(&runtime, async {
         // Its queue is full, so that the connection is asked for once more after a second.
@@ -155,12 +156,12 @@
         let filling: Vec<_> = (0..2)
             .map(|_| std::net::TcpStream::connect_timeout(&address, Duration::from_millis(300)))
             .collect();
-        let (driver, job) = job_at(address);
-        let asked = job.asked;
+        let (driver, spec) = spec_at(address);
+        let requested_at = spec.requested_at;
         let progress = Progress::default();
-        let mut exchange = std::pin::pin!(exchange(&driver, &job, &progress));
+        let mut exchange = std::pin::pin!(exchange(&driver, &spec, &progress));
         let up = timeout(Duration::from_millis(100), exchange.as_mut()).await;
-        assert!(up.is_err() && progress.took(asked) >= Duration::from_millis(100));
+        assert!(up.is_err() && progress.time_at_upstream(requested_at) >= Duration::from_millis(100));
         let upstream = std::thread::spawn(move || {
             drop(filling);
             for mut stream in listener.incoming().flatten() {
@@ -171,11 +172,11 @@
                 }
             }
         });
-        let (ended, _connection) = exchange.await;
-        let (whole, took) = (asked.elapsed(), progress.took(asked));
+        let (result, _connection) = exchange.await;
+        let (total_time, upstream_time) = (requested_at.elapsed(), progress.time_at_upstream(requested_at));
         upstream.join().expect("no panic");
-        assert_eq!(ended.outcome, Outcome::Good);
-        assert!(took < whole / 2, "{took:?} of {whole:?}");
+        assert_eq!(result.outcome, Outcome::Good);
+        assert!(upstream_time < total_time / 2, "{upstream_time:?} of {total_time:?}");
     });
 }
 
@@ -184,51 +185,53 @@
 /// is written or after, and its turn as well; only what is never written has never run. What has is answered, unless it
 /// is withdrawn.
 #[test]
-fn an_attempt_written_as_it_is_told_to_end_may_have_run() {
+fn an_attempt_written_while_it_is_cancelled_may_have_run() {
     #[derive(Debug, PartialEq)]
     enum Moment {
-        Told,
+        Cancelled,
         Written,
     }
-    use Moment::{Told, Written};
+    use Moment::{Cancelled, Written};
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("starts");
-    for (order, word, outcome) in [
-        (&[Told, Written][..], Outcome::ConnectFailed, Outcome::Good),
-        (&[Written, Told], Outcome::ConnectFailed, Outcome::Good),
-        (&[Told, Written], Outcome::Withdrawn, Outcome::Withdrawn),
-        (&[Written, Told], Outcome::Withdrawn, Outcome::Withdrawn),
-        (&[Told], Outcome::ConnectFailed, Outcome::ConnectFailed),
-        (&[Told], Outcome::Withdrawn, Outcome::Withdrawn),
+    for (order, cancel_outcome, outcome) in [
+        (&[Cancelled, Written][..], Outcome::ConnectFailed, Outcome::Good),
+        (&[Written, Cancelled], Outcome::ConnectFailed, Outcome::Good),
+        (&[Cancelled, Written], Outcome::Withdrawn, Outcome::Withdrawn),
+        (&[Written, Cancelled], Outcome::Withdrawn, Outcome::Withdrawn),
+        (&[Cancelled], Outcome::ConnectFailed, Outcome::ConnectFailed),
+        (&[Cancelled], Outcome::Withdrawn, Outcome::Withdrawn),
     ] {
-        let case = format!("{order:?}, {word:?}");
+        let case = format!("{order:?}, {cancel_outcome:?}");
         tokio::task::LocalSet::new().block_on(&runtime, async {
             let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.expect("a free port");
-            let (driver, job) = job_at(listener.local_addr().expect("bound"));
+            let (driver, spec) = spec_at(listener.local_addr().expect("bound"));
             let progress = Progress::default();
-            let (end, ended) = oneshot::channel();
-            let mut end = Some(end);
-            let mut attempt = Box::pin(run(&driver, &job, &progress, ended));
+            let (cancel, cancelled) = oneshot::channel();
+            let mut cancel = Some(cancel);
+            let mut attempt = Box::pin(await_result(&driver, &spec, &progress, cancelled));
             // The request is handed to its connection, which has not had its turn yet.
             loop {
                 assert!(poll_once(attempt.as_mut()).await.is_pending());
-                if progress.sent.get().is_some() {
+                if progress.send_started_at.get().is_some() {
                     break;
                 }
                 tokio::task::yield_now().await;
             }
             for moment in order {
-                assert_eq!(progress.begun(), order[0] == Written && *moment == Told, "{case}");
+                assert_eq!(progress.has_begun(), order[0] == Written && *moment == Cancelled, "{case}");
                 match moment {
-                    Told => end.take().expect("told once").send(word).expect("the attempt is out"),
+                    Cancelled => {
+                        cancel.take().expect("told once").send(cancel_outcome).expect("the attempt is out")
+                    }
                     Written => {
-                        while !progress.whole() {
+                        while !progress.is_fully_written() {
                             tokio::task::yield_now().await;
                         }
                     }
                 }
             }
             let mut upstream = listener.accept().await.expect("it came up").0;
-            let (ended, _connection) = match poll_once(attempt.as_mut()).await {
+            let (result, _connection) = match poll_once(attempt.as_mut()).await {
                 Poll::Ready(done) => done,
                 Poll::Pending => {
                     assert_eq!(outcome, Outcome::Good, "{case}: it goes on");
@@ -237,13 +240,13 @@
                     attempt.as_mut().await
                 }
             };
-            assert_eq!(ended.outcome, outcome, "{case}");
+            assert_eq!(result.outcome, outcome, "{case}");
             drop(attempt);
             let mut read = Vec::new();
             upstream.read_to_end(&mut read).await.expect("closed in order");
-            let whole = read.starts_with(b"GET /order?k=7f") && read.ends_with(b"\r\n\r\n");
-            assert_eq!(whole, order.contains(&Written), "{case}");
-            assert!(whole || read.is_empty(), "{case}");
+            let is_complete = read.starts_with(b"GET /order?k=7f") && read.ends_with(b"\r\n\r\n");
+            assert_eq!(is_complete, order.contains(&Written), "{case}");
+            assert!(is_complete || read.is_empty(), "{case}");
         });
     }
 }
--- a/scale/src/hollow/host/lists.rs
+++ b/scale/src/hollow/host/lists.rs
@@ -35,7 +35,7 @@
     }
 
     fn reserve_descriptor(&self) -> Permit {
-        Permit::of(&self.sockets)
+        Permit::acquire(&self.sockets)
     }
 }
 
--- a/scale/src/hollow/host/requests.rs
+++ b/scale/src/hollow/host/requests.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use stilelead::server::{LAST_WORD, MARGIN};
+use stilelead::server::{DEADLINE_MARGIN, FINAL_ANSWER_GRACE};
 use stilelead_decision::Event;
 use stilelead_decision::interface::{Request, RequestId};
 
@@ -24,7 +24,7 @@
         let class = self.copies[copy].class(work.class)?;
         let tenant = self.copies[copy].tenant(work.tenant);
         let id = RequestId(self.number());
-        let time_left = time.saturating_sub(MARGIN);
+        let time_left = time.saturating_sub(DEADLINE_MARGIN);
         let deadline = self.now + time_left;
         let held = HeldRequest {
             copy,
@@ -37,7 +37,7 @@
             runs: 0,
         };
         self.requests.insert(id, held);
-        self.schedule.add(deadline + LAST_WORD, Due::Overdue(id));
+        self.schedule.add(deadline + FINAL_ANSWER_GRACE, Due::Overdue(id));
         let request = Request {
             id,
             class,
