--- a/proxy/src/driver.rs
+++ b/proxy/src/driver.rs
@@ -1,5 +1,5 @@
-//! Owns the decisions and the tables around them: turns what happens on the network into events and
-//! carries out the actions that come back.
+//! Connects the decisions to the network: turns what happens into events and carries out the actions that
+//! they return. Owns pending requests, idle connections and the list of upstreams.
 
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
@@ -31,78 +31,82 @@
 use crate::subscription::Subscription;
 use crate::upstream::{self, AttemptResult, AttemptSpec, Connection, ForwardedRequest, Progress};
 
-/// Descriptors that are no connection: standard streams, listener, runtime.
+/// Descriptors that are not connections: standard streams, listener, runtime.
 const RESERVED_DESCRIPTORS: usize = 16;
-/// Descriptors that upstream connections leave to clients.
+/// Idle upstream connections leave one in this many sockets to clients.
 const CLIENT_SHARE_DIVISOR: usize = 4;
 
 /// The final answer to a client.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Answer {
-    /// What an upstream answered.
+    /// The body that an upstream answered with.
     Served(Bytes),
-    /// Trying again is harmless.
+    /// The request was not executed: the client may safely retry.
     Refused {
-        /// How long to stay away.
+        /// How long the client should wait before it retries.
         retry_after: Option<Duration>,
     },
-    /// Nothing is said of its effect.
+    /// The request failed, and may or may not have been executed.
     Failed,
 }
 
-/// A client's request, ready for the decisions.
+/// A client's request as it is handed to the decisions.
 #[derive(Debug)]
 pub struct ClientRequest {
     /// Its class.
     pub class: ClassId,
-    /// Its tenant.
+    /// Its tenant, where the settings have tenants.
     pub tenant: Option<TenantId>,
-    /// Its subject.
+    /// The resource that it is about, if it names one.
     pub resource_key: Option<u64>,
-    /// The work expected.
+    /// The work that it is expected to take, if the client has estimated it.
     pub expected_work: Option<Duration>,
-    /// The client has marked it as a repeat.
+    /// The client has marked it as a retry.
     pub is_retry: bool,
-    /// When the answer must be out.
+    /// When its answer has to be sent.
     pub deadline: Instant,
-    /// What goes on to upstreams.
+    /// The request to forward to upstreams.
     pub forwarded: Rc<ForwardedRequest>,
 }
 
-/// A request that is held, or has attempts out.
+/// A request that has no final answer yet, or still has attempts in flight.
 struct PendingRequest {
     forwarded: Rc<ForwardedRequest>,
     deadline: Instant,
-    /// Taken by the final answer.
+    /// `None` once the final answer is given, or the client has disconnected.
     answer_sender: Option<oneshot::Sender<Answer>>,
-    /// By attempt, while it is out.
+    /// By attempt number; `None` once the attempt has ended or been cancelled.
     attempts: Vec<Option<InFlightAttempt>>,
     attempts_in_flight: u32,
 }
 
-/// An attempt that is out.
+/// An attempt that has not ended.
 struct InFlightAttempt {
     upstream: UpstreamId,
-    /// Ends it, with this outcome.
+    /// Cancels the attempt, which then ends with the outcome sent.
     cancel: oneshot::Sender<Outcome>,
     progress: Rc<Progress>,
 }
 
+/// An upstream connection that carries no request and is kept for the next attempt.
 struct IdleConnection {
     connection: Connection,
     address: SocketAddr,
     idle_since: Instant,
 }
 
+/// The mutable state, borrowed while events are handled.
 struct Core {
     balancer: Balancer,
+    /// Events that are still to be passed to `balancer`.
     events: VecDeque<Event>,
     requests: FxHashMap<RequestId, PendingRequest>,
-    /// The clients' ids of the requests held: upstreams count a second request with one of them as a copy.
+    /// Client-given ids of the pending requests: upstreams count a second request with the same id as a
+    /// duplicate.
     client_ids: FxHashSet<Box<[u8]>>,
     next_request_id: u64,
     directory: Directory,
-    /// Idle connections, the most recently used last.
+    /// Idle connections by upstream, the most recently used last.
     idle_connections: FxHashMap<UpstreamId, Vec<IdleConnection>>,
     subscription: Subscription,
 }
@@ -111,19 +115,21 @@
 pub struct Driver {
     core: RefCell<Core>,
     in_force: RefCell<Rc<InForce>>,
+    /// Notified when another configuration has come into force.
     reconfigured: Notify,
     clock: Clock,
     metrics: Metrics,
+    /// Number of connections counted by permits.
     open_sockets: Rc<Cell<usize>>,
-    /// When the program ends, once that is known.
+    /// When the program ends, once it is shutting down.
     shutdown_deadline: Cell<Option<Instant>>,
 }
 
 impl Driver {
-    /// Starts the decisions with the list from the configuration.
+    /// Starts the decisions with the list of upstreams from the configuration.
     ///
     /// # Errors
-    /// The settings make no sense.
+    /// The settings are invalid.
     pub fn start(mut config: Config) -> Result<Rc<Self>, SettingsError> {
         let clock = Clock::start();
         let (seed, known) = (config.seed, config.known.take());
@@ -147,8 +153,9 @@
             open_sockets: Rc::new(Cell::new(0)),
             shutdown_deadline: Cell::new(None),
         });
-        // The subscription asks for what came after the list in hand, so that is taken in first. One that names nobody to
-        // serve is asked for whole: what it lacks may not change for long.
+        // The subscription asks for changes since the configured list, so that list is applied first. If it
+        // has no upstream that can serve, the full list is requested: what it lacks may not change for a
+        // long time.
         if let Some(known) = known {
             let index = known.index;
             driver.apply_list(&known, Origin::Configuration);
@@ -159,7 +166,7 @@
         let sweeper = Rc::clone(&driver);
         spawn_local(async move {
             loop {
-                // New settings may close sooner than the old ones.
+                // New settings may have a shorter idle timeout.
                 let _ = timeout(sweeper.in_force().keep() / 8, sweeper.reconfigured.notified()).await;
                 sweeper.close_expired();
             }
@@ -173,13 +180,13 @@
         Rc::clone(&self.in_force.borrow())
     }
 
-    /// The counters.
+    /// The metrics of this process.
     #[must_use]
     pub fn metrics(&self) -> &Metrics {
         &self.metrics
     }
 
-    /// All figures for the operator as text.
+    /// All metrics in the OpenMetrics text format.
     #[must_use]
     pub fn metrics_text(&self) -> String {
         let requests_open = self.core.borrow().requests.len();
@@ -187,10 +194,10 @@
         self.metrics.text()
     }
 
-    /// Puts a configuration in force, whole or not at all; what is in flight goes on.
+    /// Puts a new configuration in force, as a whole or not at all; requests in flight continue.
     ///
     /// # Errors
-    /// It cannot follow the one in force.
+    /// It cannot replace the one in force while the program runs.
     pub fn reconfigure(self: &Rc<Self>, config: Config) -> Result<Changes, ReloadError> {
         let old = self.in_force();
         let (new, changes) = old.succeeded_by(config, self.open_sockets.get() + RESERVED_DESCRIPTORS)?;
@@ -204,7 +211,7 @@
         Ok(changes)
     }
 
-    /// Whether the list in hand names an upstream that requests can go to.
+    /// Whether the current list has an upstream that requests can be sent to.
     #[must_use]
     pub fn can_serve(&self) -> bool {
         self.core.borrow().directory.can_serve()
@@ -212,42 +219,44 @@
 
     // --- Sockets ---
 
-    /// Counts a connection that is had in any case: a client's, which the machine has already accepted, or
-    /// discovery's, without which drains would be missed.
+    /// Counts a connection that is not refused even if the budget is used up: a client's, which the system
+    /// has already accepted, or discovery's, without which drains would be missed.
     #[must_use]
     pub fn unconditional_permit(&self) -> Permit {
         Permit::acquire(&self.open_sockets)
     }
 
-    /// Whether so many sockets are open that those not in use must go.
+    /// Whether so many sockets are open that unused ones have to be closed.
     #[must_use]
     pub fn short_of_sockets(&self) -> bool {
         let max = self.max_connections();
         self.open_sockets.get() >= max - max / (2 * CLIENT_SHARE_DIVISOR)
     }
 
-    /// Whether the last socket of the budget is taken.
+    /// Whether more sockets are open than the budget allows.
     #[must_use]
     pub fn over_socket_budget(&self) -> bool {
         self.open_sockets.get() > self.max_connections()
     }
 
+    /// How many connections the budget of descriptors allows.
     fn max_connections(&self) -> usize {
         self.in_force.borrow().sockets().saturating_sub(RESERVED_DESCRIPTORS)
     }
 
-    /// A socket for a connection of our own, if the budget has one: idle ones are closed to make room.
+    /// Permits an upstream connection if the budget allows one; near the limit an idle connection is closed
+    /// first.
     #[must_use]
     pub fn try_permit(&self) -> Option<Permit> {
         let max = self.max_connections();
         if self.open_sockets.get() >= max - max / CLIENT_SHARE_DIVISOR {
-            self.close_least_recently_used();
+            self.close_lru_idle_connection();
         }
         (self.open_sockets.get() < max).then(|| self.unconditional_permit())
     }
 
-    /// Closes the idle connection to an upstream that was used least recently; tells whether there was one.
-    pub fn close_least_recently_used(&self) -> bool {
+    /// Closes the idle upstream connection that was used least recently; returns whether there was one.
+    pub fn close_lru_idle_connection(&self) -> bool {
         let mut core = self.core.borrow_mut();
         let least_recent = core
             .idle_connections
@@ -257,9 +266,9 @@
         least_recent.map(|pool| pool.remove(0)).is_some()
     }
 
-    /// A free connection to an upstream, the most recently used first.
+    /// Takes the most recently used idle connection to an upstream that is still usable.
     #[must_use]
-    pub fn take_idle(&self, upstream: UpstreamId) -> Option<Connection> {
+    pub fn take_idle_connection(&self, upstream: UpstreamId) -> Option<Connection> {
         let idle_timeout = self.in_force.borrow().keep();
         let mut core = self.core.borrow_mut();
         let pool = core.idle_connections.get_mut(&upstream)?;
@@ -271,8 +280,8 @@
         None
     }
 
-    /// Keeps a connection for the next attempt.
-    pub fn store_idle(&self, upstream: UpstreamId, address: SocketAddr, connection: Connection) {
+    /// Stores a connection for the next attempt, unless it cannot be used any more.
+    pub fn store_idle_connection(&self, upstream: UpstreamId, address: SocketAddr, connection: Connection) {
         if !self.accepts_new_requests(upstream, address) || !connection.is_free() {
             return;
         }
@@ -280,12 +289,13 @@
         self.core.borrow_mut().idle_connections.entry(upstream).or_default().push(idle);
     }
 
-    /// Whether discovery's last word allows new work for an upstream at this address.
+    /// Whether the latest list allows new requests to an upstream at this address.
     #[must_use]
     pub fn accepts_new_requests(&self, upstream: UpstreamId, address: SocketAddr) -> bool {
         self.core.borrow().directory.ready_address(upstream) == Some(address)
     }
 
+    /// Closes idle upstream connections that have timed out or cannot be used any more.
     fn close_expired(&self) {
         let idle_timeout = self.in_force.borrow().keep();
         let mut core = self.core.borrow_mut();
@@ -296,13 +306,13 @@
 
     // --- Requests ---
 
-    /// The program ends then: no request taken from now on may last longer.
+    /// Sets when the program ends: requests accepted from now on get no later deadline.
     pub fn set_shutdown_deadline(&self, shutdown_deadline: Instant) {
         self.shutdown_deadline.set(Some(shutdown_deadline));
     }
 
-    /// Takes a request; its final answer comes through the receiver. `None` if one with the client's id is
-    /// open, or has attempts out.
+    /// Accepts a request; its final answer arrives through the receiver. `None` if another request with the
+    /// same client id is pending.
     pub fn submit(self: &Rc<Self>, request: ClientRequest) -> Option<(RequestId, oneshot::Receiver<Answer>)> {
         let (answer_sender, receiver) = oneshot::channel();
         let deadline = self
@@ -318,7 +328,7 @@
             core.next_request_id += 1;
             let (client_id, class) =
                 (request.forwarded.request_id.as_bytes().escape_ascii(), request.class.0);
-            tracing::debug!(id = %client_id, class, "request taken");
+            tracing::debug!(id = %client_id, class, "request accepted");
             let pending = PendingRequest {
                 forwarded: request.forwarded,
                 deadline,
@@ -341,7 +351,7 @@
         Some((id, receiver))
     }
 
-    /// The client has left, or its time is up: nothing more is owed.
+    /// The client has disconnected, or its deadline has passed: the request needs no answer any more.
     pub fn abandon(self: &Rc<Self>, id: RequestId) {
         {
             let mut core = self.core.borrow_mut();
@@ -349,10 +359,11 @@
             if pending.answer_sender.take().is_none() {
                 return;
             }
-            tracing::debug!(id = %pending.client_id(), "client left or out of time");
+            tracing::debug!(id = %pending.client_id(), "client disconnected or deadline passed");
             self.metrics.request_abandoned();
-            // What waits for its connection, or has not gone out whole, goes to nobody's benefit. Closed before
-            // its last byte it never runs, so that this needs no leave to cancel.
+            // Attempts that wait for a connection or are not fully written cannot serve anyone any more. A
+            // request whose connection is closed before its last byte is never executed, so that cancelling
+            // it does not depend on the `cancel` setting.
             for attempt in &mut pending.attempts {
                 if let Some(in_flight) = attempt.take_if(|in_flight| !in_flight.progress.is_fully_written()) {
                     let _ = in_flight.cancel.send(Outcome::Withdrawn);
@@ -363,7 +374,8 @@
         self.handle(Event::RequestAbandoned(id));
     }
 
-    /// An attempt is over, which took so long.
+    /// Reports the end of an attempt and its duration to the decisions, and passes a served body on to the
+    /// client.
     pub fn attempt_ended(self: &Rc<Self>, spec: &AttemptSpec, duration: Duration, result: AttemptResult) {
         let request_ended = {
             let mut core = self.core.borrow_mut();
@@ -385,7 +397,7 @@
             if let Some(body) = result.body
                 && let Some(sender) = pending.answer_sender.take()
             {
-                // A client that has just left is told of on its own way.
+                // This fails if the client has just disconnected, which is reported on its own.
                 let _ = sender.send(Answer::Served(body));
             }
             let request_ended = pending.answer_sender.is_none();
@@ -404,9 +416,9 @@
 
     // --- Discovery ---
 
-    /// Discovery is to be asked at this address from now on, and for the whole list if the one in hand was read by
-    /// other names. The watch that stands goes on being heard until the new one has spoken, so that no drain is
-    /// missed in between.
+    /// Watches discovery at a new address, or again for the full list if the current one was read with
+    /// other names. The current watch stays in use until the new one has sent its first update, so that no
+    /// drain is missed.
     fn restart_watch(self: &Rc<Self>, address: SocketAddr, full_list: bool) {
         let address_changed = {
             let mut core = self.core.borrow_mut();
@@ -420,6 +432,7 @@
         }
     }
 
+    /// Applies an update of the list of upstreams and passes it to the decisions.
     fn apply_list(self: &Rc<Self>, update: &Update, origin: Origin) {
         let list = {
             let mut core = self.core.borrow_mut();
@@ -428,7 +441,7 @@
             for upstream in change.restarted {
                 idle_connections.remove(&upstream);
             }
-            // Nothing kept goes to an upstream that drains, is gone, or has moved.
+            // Idle connections to upstreams that are draining, gone or have moved are closed.
             idle_connections.retain(|&upstream, pool| match directory.ready_address(upstream) {
                 Some(address) => {
                     pool.retain(|idle| idle.address == address);
@@ -452,7 +465,7 @@
 
     // --- Events and actions ---
 
-    /// Hands an event to the decisions and carries out what they ask for.
+    /// Passes an event to the decisions and carries out the actions that they return.
     fn handle(self: &Rc<Self>, event: Event) {
         let mut core = self.core.borrow_mut();
         core.events.push_back(event);
@@ -476,7 +489,7 @@
                     .and_then(|pending| pending.attempts.get_mut(attempt.0 as usize))
                     .and_then(Option::take)
                 {
-                    // It may have ended this moment, which it then says itself.
+                    // The attempt may have ended just now, and then reports its own outcome.
                     let _ = in_flight.cancel.send(Outcome::Withdrawn);
                 }
             }
@@ -488,7 +501,8 @@
                     .renew(|request| spawn_local(discovery::watch(Rc::clone(self), request)).abort_handle());
             }
             Action::AbortPendingConnects { upstream } => {
-                // Until its first byte is written it waits for a connection, and can't have run.
+                // Before its first byte is written an attempt waits for a connection, and cannot have been
+                // executed.
                 let connecting = |in_flight: &mut InFlightAttempt| {
                     in_flight.upstream == upstream && !in_flight.progress.has_begun()
                 };
@@ -497,7 +511,7 @@
                     let _ = in_flight.cancel.send(Outcome::ConnectFailed);
                 }
             }
-            // Health checks are not made here: where a site allowed them, they would end unsent.
+            // This program makes no health checks: where the settings allow them, they end as not sent.
             Action::Probe { upstream } => core.events.push_back(Event::ProbeEnded {
                 upstream,
                 outcome: Outcome::NotSent,
@@ -518,6 +532,7 @@
         }
     }
 
+    /// Counts and logs a decision that the operator is told of.
     fn report(&self, core: &Core, report: Report) {
         let name = |upstream| core.directory.name(upstream).unwrap_or("unlisted");
         match report {
@@ -532,7 +547,7 @@
             }
             Report::ListTrustChanged(level) => {
                 self.metrics.list_trust_changed(level);
-                tracing::info!(?level, "trust in the list changed");
+                tracing::info!(?level, "trust in the list of upstreams changed");
             }
             Report::Ejected { upstream, duration } => {
                 self.metrics.ejected();
@@ -545,6 +560,7 @@
         }
     }
 
+    /// Starts an attempt; one that cannot be sent ends at once with `Outcome::NotSent`.
     fn send(
         self: &Rc<Self>,
         core: &mut Core,
@@ -609,7 +625,7 @@
             return;
         }
         self.metrics.watch_ended(reason.kind());
-        tracing::warn!(watch = watch.0, "the watch on discovery broke: {reason}");
+        tracing::warn!(watch = watch.0, "watch on discovery ended: {reason}");
         self.handle(Event::Discovery(match reason {
             WatchError::Unreachable => DiscoveryUpdate::Unreachable,
             WatchError::Silent { heard: Some(silence) } => DiscoveryUpdate::TimedOut(*silence),
@@ -623,23 +639,24 @@
 }
 
 impl PendingRequest {
-    /// The id that the client gave, for the log.
+    /// The id that the client gave, escaped for the log.
     fn client_id(&self) -> impl Display {
         self.forwarded.request_id.as_bytes().escape_ascii()
     }
 }
 
 impl Core {
+    /// Gives the final answer to a request, unless it has one.
     fn answer(&mut self, id: RequestId, answer: Answer) {
         let Some(pending) = self.requests.get_mut(&id) else { return };
         if let Some(sender) = pending.answer_sender.take() {
-            // A client that has just left is told of on its own way.
+            // This fails if the client has just disconnected, which is reported on its own.
             let _ = sender.send(answer);
         }
         self.release(id);
     }
 
-    /// Forgets a request that has its answer and no attempt out.
+    /// Removes a request that has its answer and no attempt in flight.
     fn release(&mut self, id: RequestId) {
         if self
             .requests
--- a/proxy/src/driver/tests.rs
+++ b/proxy/src/driver/tests.rs
@@ -1,4 +1,4 @@
-//! When the driver asks discovery, and how tests of other modules reach into it.
+//! How often discovery is called while calls fail, and access to the driver for the tests of other modules.
 
 use socket2::SockRef;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -8,30 +8,30 @@
 use crate::config::tests::CONFIGURATION;
 
 impl Driver {
-    /// The number of an upstream that is listed.
+    /// The id of a listed upstream.
     pub(crate) fn number_of(&self, name: &str) -> UpstreamId {
-        self.core.borrow().directory.number(name).expect("it is listed")
+        self.core.borrow().directory.number(name).expect("listed")
     }
 
-    /// Takes in what the watch of that number tells.
+    /// Applies an update as if it came from the watch with this number.
     pub(crate) fn apply_update(self: &Rc<Self>, number: u64, update: Update) {
         self.updated(WatchNumber(number), update);
     }
 }
 
-/// What discovery makes of a call.
+/// How discovery fails a call.
 #[derive(Debug, Clone, Copy)]
 enum Failure {
-    /// Nothing listens.
+    /// Nothing listens at its address.
     Unreachable,
     Reset,
-    /// Answers 503.
+    /// It answers 503.
     Overloaded,
-    /// Takes the call and says nothing.
+    /// It accepts the call and never answers.
     Silent,
-    /// Opens a watch that ends before its first word.
+    /// It opens a watch that ends before its first update.
     EndsEarly,
-    /// Opens a watch that falls silent after its first word.
+    /// It opens a watch that falls silent after its first update.
     StopsSending,
 }
 
@@ -61,10 +61,11 @@
     }
 }
 
-/// Guards what is told while calls to discovery fail: it counts 6 s after discovery can be reached, whatever call failed
-/// and however long the settings let a copy go without asking. So the next call begins early enough to be answered
-/// within that, be the last one refused, reset, turned away, silent or ended, and a
-/// watch that falls silent is opened anew as early. The clock is the test's.
+/// An update counts as delivered 6 s after discovery can be reached, whatever call failed before and
+/// however long the settings let a replica go without asking. The next call therefore has to begin early
+/// enough to be answered within that time, whether the last one was refused, reset, answered with an error,
+/// left without an answer or ended; a watch that falls silent has to be replaced as early. The test runs on
+/// a paused clock.
 #[test]
 fn a_failed_call_to_discovery_is_repeated_before_updates_count_as_late() {
     const LATE_UPDATE_LIMIT: Duration = Duration::from_secs(6);
@@ -95,7 +96,8 @@
                 .replace("127.0.0.1:1\"", &format!("{address}\""))
                 .replace(r#""discovery": "automatic""#, mode)
                 .replace(r#""rules": {"#, rules);
-            let driver = Driver::start(Config::parse(&text, |_| None).expect("sound")).expect("starts");
+            let driver = Driver::start(Config::parse(&text, |_| None).expect("a valid configuration"))
+                .expect("starts");
             let calls = || driver.core.borrow().subscription.number();
             let (start, mut last_call, mut longest_gap) = (Instant::now(), Instant::now(), Duration::ZERO);
             let mut seen_calls = calls();
--- a/proxy/src/framing.rs
+++ b/proxy/src/framing.rs
@@ -1,5 +1,5 @@
-//! What hyper does not tell of a client's bytes: lengths that contradict each other, and what stands behind a
-//! request on its connection. A request whose end is in doubt may hide another one.
+//! What hyper does not report about a client's bytes: contradicting lengths, and bytes that follow a
+//! request on its connection. A request whose end is ambiguous may hide another one (request smuggling).
 
 use std::cell::{Cell, RefCell};
 use std::io;
@@ -14,41 +14,41 @@
 use tokio::net::TcpStream;
 use tokio::time::Instant;
 
-/// The head does not say with one voice where its request ends.
+/// The head gives no unambiguous length for its request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
-#[error("the lengths contradict each other")]
+#[error("the length of the request is ambiguous")]
 pub struct AmbiguousLength;
 
-/// Bytes at most that are kept of what a client sends ahead of its answer: a head's. Clients send a single
-/// request at a time, and a memory of many must not fill.
+/// Maximum number of bytes kept of what a client sends before it has its answer: the size of a head.
+/// Clients send one request at a time, and many clients must not fill the memory.
 const MAX_READ_AHEAD_BYTES: usize = 16 * 1024;
 
-/// A client's bytes that belong to no request taken so far.
+/// A client's received bytes that belong to no request processed so far.
 #[derive(Debug, Default)]
 pub struct PendingInput {
-    /// Those that hyper has read.
+    /// Bytes that hyper has read.
     received: RefCell<Vec<u8>>,
-    /// Those that it has yet to read, taken from the socket ahead of it.
+    /// Bytes that were read from the socket ahead of hyper, which it has yet to read.
     read_ahead: RefCell<Vec<u8>>,
-    /// There were more than are kept: what comes next can't be read as a request.
+    /// More bytes arrived than are kept in `read_ahead`: the next ones cannot be read as a request.
     read_ahead_overflowed: Cell<bool>,
-    /// Bytes of the current request's body that are yet to come.
+    /// Bytes of the current request's body that have not arrived yet.
     body_remaining: Cell<u64>,
-    /// When the first of the bytes came.
+    /// When the first of the bytes in `received` arrived.
     pending_since: Cell<Option<Instant>>,
 }
 
 impl PendingInput {
-    /// When the request that is coming in began, if one is.
+    /// When the first byte of the next request arrived; `None` if there is none yet.
     #[must_use]
     pub fn pending_since(&self) -> Option<Instant> {
         self.pending_since.get()
     }
 
-    /// Takes out the request whose head hyper has just read.
+    /// Removes the request whose head hyper has just read.
     ///
     /// # Errors
-    /// The head holds more than one length, or none that can be found.
+    /// The head gives more than one length, or one that cannot be parsed.
     pub fn consume_request(&self) -> Result<(), AmbiguousLength> {
         let mut bytes = self.received.borrow_mut();
         self.pending_since.set(None);
@@ -65,7 +65,7 @@
             } => {
                 self.consume(&mut bytes, head_bytes, content_length);
             }
-            // Where a chunked body ends only hyper knows: its connection is not used again.
+            // Only hyper knows where a chunked body ends, so the connection is not reused.
             HeadFraming { content_lengths: 0, transfer_encodings: 1, .. } => {
                 self.consume(&mut bytes, 0, u64::MAX)
             }
@@ -80,14 +80,15 @@
         self.body_remaining.set(body_bytes - consumed as u64);
         bytes.drain(..head_bytes + consumed);
         if bytes.is_empty() {
-            // A connection that stands idle holds no memory here.
+            // An idle connection holds no memory here.
             *bytes = Vec::new();
         } else {
             self.pending_since.set(Some(Instant::now()));
         }
     }
 
-    /// Whether what stands behind the current request can't be the next one: then its length was wrong.
+    /// Whether the bytes after the current request cannot begin another one, which means that its length
+    /// was wrong.
     #[must_use]
     pub fn is_followed_by_garbage(&self) -> bool {
         let received = self.received.borrow();
@@ -99,8 +100,8 @@
         ![&b"GET "[..], b"POST "].iter().any(may_start_with)
     }
 
-    /// Waits until the client of the request that is being answered has left. Hyper stops to read, and so to
-    /// hear of it, once anything has come behind the request; so that is read here.
+    /// Waits until the client whose request is being answered has disconnected. Hyper stops reading once
+    /// anything has arrived after the request, and then would not notice, so such bytes are read here.
     pub async fn client_disconnected(&self, stream: &TcpStream) {
         let mut buffer = [0; 1024];
         while stream.readable().await.is_ok() {
@@ -120,7 +121,7 @@
         }
     }
 
-    /// Whether a part of what stands behind the current request was thrown away.
+    /// Whether some of the bytes after the current request were discarded.
     #[must_use]
     pub fn has_overflowed(&self) -> bool {
         self.read_ahead_overflowed.get()
@@ -139,16 +140,16 @@
     }
 }
 
-/// What a head says of lengths.
+/// The header fields of a request head that determine its length.
 struct HeadFraming {
-    /// Bytes of it, line ends before it included.
+    /// Size of the head, including line ends before it.
     head_bytes: usize,
     content_lengths: usize,
     content_length: Option<u64>,
     transfer_encodings: usize,
 }
 
-/// Reads a head that hyper has found sound.
+/// Parses a head that hyper has accepted; `None` if its end is missing.
 fn parse_head(bytes: &[u8]) -> Option<HeadFraming> {
     let mut head =
         HeadFraming { head_bytes: 0, content_lengths: 0, content_length: None, transfer_encodings: 0 };
@@ -176,20 +177,20 @@
     None
 }
 
-/// A client's socket that notes what is read from it.
+/// A client's socket that records all bytes read from it.
 pub struct InspectedStream {
     stream: Rc<TcpStream>,
-    unread: Rc<PendingInput>,
+    input: Rc<PendingInput>,
 }
 
 impl InspectedStream {
-    /// Notes in `unread` what is read from the socket.
+    /// Records in `input` what is read from the socket.
     #[must_use]
-    pub fn new(stream: Rc<TcpStream>, unread: Rc<PendingInput>) -> Self {
-        Self { stream, unread }
+    pub fn new(stream: Rc<TcpStream>, input: Rc<PendingInput>) -> Self {
+        Self { stream, input }
     }
 
-    /// Writes with `write` as soon as the socket takes something.
+    /// Calls `write` once the socket is writable, until it does not block.
     fn poll_write_with(
         &self,
         context: &mut Context<'_>,
@@ -211,11 +212,11 @@
         context: &mut Context<'_>,
         buffer: &mut ReadBuf<'_>,
     ) -> Poll<io::Result<()>> {
-        let mut read_ahead = self.unread.read_ahead.take();
+        let mut read_ahead = self.input.read_ahead.take();
         if !read_ahead.is_empty() {
             let remaining = read_ahead.split_off(read_ahead.len().min(buffer.remaining()));
-            self.unread.read_ahead.replace(remaining);
-            self.unread.record(&read_ahead);
+            self.input.read_ahead.replace(remaining);
+            self.input.record(&read_ahead);
             buffer.put_slice(&read_ahead);
             return Poll::Ready(Ok(()));
         }
@@ -224,7 +225,7 @@
             let unfilled = buffer.initialize_unfilled();
             match self.stream.try_read(unfilled) {
                 Ok(bytes) => {
-                    self.unread.record(&unfilled[..bytes]);
+                    self.input.record(&unfilled[..bytes]);
                     buffer.advance(bytes);
                     return Poll::Ready(Ok(()));
                 }
--- a/proxy/src/framing/tests.rs
+++ b/proxy/src/framing/tests.rs
@@ -1,4 +1,4 @@
-//! What hyper's reader and ours must agree on.
+//! How requests are separated, which has to agree with hyper's parser.
 
 use super::*;
 
@@ -8,7 +8,8 @@
     (input.consume_request(), input)
 }
 
-/// Guards against a request hidden in a body: each head that two readers could end at different places.
+/// Guards against requests hidden in a body: heads whose end two parsers could place differently are
+/// rejected.
 #[test]
 fn a_head_with_an_ambiguous_length_is_rejected() {
     for headers in [
@@ -27,7 +28,7 @@
     assert_eq!(consume("POST / HTTP/1.1\r\nContent-Length: 5").0, Err(AmbiguousLength));
 }
 
-/// Guards clients that send their next request early, and the count of what has been taken.
+/// Guards clients that send their next request early, and the count of body bytes still to come.
 #[test]
 fn bytes_after_a_request_are_recognised() {
     for (following, garbage) in [("", false), ("GET /x HT", false), ("\r\nPO", false), ("lments", true)] {
--- a/proxy/src/lib.rs
+++ b/proxy/src/lib.rs
@@ -1,8 +1,8 @@
-//! A load balancer on real sockets. All decisions are made by `stilelead-decision`; this crate turns
-//! what happens on the network into its events and carries out its actions.
+//! A load balancer on real sockets. `stilelead-decision` makes all decisions; this crate turns what happens
+//! on the network into its events and carries out its actions.
 //!
-//! One thread, one runtime: [`driver::Driver`] owns the state behind a `RefCell` that is never
-//! borrowed across an await.
+//! It runs on a single thread: [`driver::Driver`] owns the state in a `RefCell` that is never borrowed across
+//! an await.
 
 pub mod clock;
 pub mod config;
--- a/proxy/src/main.rs
+++ b/proxy/src/main.rs
@@ -1,5 +1,5 @@
-//! The real balancer: starts from its configuration, serves until SIGTERM, then lets go in peace. SIGHUP has it
-//! put a replaced configuration in force.
+//! The balancer process: reads its configuration, serves until SIGTERM or SIGINT, then drains. SIGHUP makes
+//! it reload the configuration.
 
 use std::process::ExitCode;
 
@@ -22,9 +22,9 @@
             return ExitCode::FAILURE;
         }
     };
-    let served = Builder::new_current_thread().enable_all().build().and_then(|runtime| {
+    let result = Builder::new_current_thread().enable_all().build().and_then(|runtime| {
         LocalSet::new().block_on(&runtime, async {
-            // All before the address is bound: from then on a signal may come.
+            // Signal handlers are installed before the address is bound: signals may arrive from then on.
             let mut terminate = signal(SignalKind::terminate())?;
             let mut interrupt = signal(SignalKind::interrupt())?;
             let hangup = signal(SignalKind::hangup())?;
@@ -39,7 +39,7 @@
             server::serve(config, reloads, stop).await
         })
     });
-    match served {
+    match result {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
             eprintln!("stilelead: {error}");
@@ -48,7 +48,7 @@
     }
 }
 
-/// At each SIGHUP reads the configuration that has replaced the old one.
+/// Reads the configuration again at each SIGHUP and sends it on, or the reason why it cannot be used.
 async fn reload_on_hangup(mut hangup: Signal, reload_sender: UnboundedSender<Result<Config, ConfigError>>) {
     while hangup.recv().await.is_some() {
         if reload_sender.send(Config::replaced()).is_err() {
--- a/proxy/src/metrics.rs
+++ b/proxy/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Counters for the operator, in the OpenMetrics text format. Each is named here and nowhere else.
+//! The operator's metrics, in the OpenMetrics text format. All metric names are defined here.
 
 use prometheus_client::encoding::text::encode;
 use prometheus_client::encoding::{EncodeLabelSet, EncodeLabelValue};
@@ -12,31 +12,31 @@
 /// The media type of [`Metrics::text`].
 pub const MEDIA_TYPE: &str = "application/openmetrics-text; version=1.0.0; charset=utf-8";
 
-/// What a client's request came to.
+/// How a client's request was answered.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, EncodeLabelValue)]
 pub enum Answer {
-    /// An upstream's answer was passed on.
+    /// With an upstream's answer.
     Served,
-    /// Shed: trying again is harmless.
+    /// Refused without being executed; the client may safely retry.
     Refused,
-    /// Nothing is said of its effect.
+    /// Failed; it may have been executed.
     Failed,
-    /// No proper request.
+    /// Rejected as malformed.
     Malformed,
 }
 
 /// Why a request was ended unserved.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, EncodeLabelValue)]
 pub enum Reason {
-    /// The rate limits.
+    /// The rate limits did not admit it.
     Suppressed,
-    /// No upstream may be sent to.
+    /// No upstream could be sent to.
     NoUpstream,
-    /// The last attempt failed, and there is no further one.
+    /// The last attempt failed, and no further attempt was made.
     AttemptFailed,
-    /// No descriptor is left.
+    /// No descriptor was left.
     Descriptors,
-    /// The process ends and keeps its last free connections.
+    /// The process is shutting down and keeps its last free client connections free.
     ShuttingDown,
 }
 
@@ -52,7 +52,7 @@
 
 /// How an attempt ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, EncodeLabelValue)]
-#[expect(missing_docs, reason = "named as the outcomes of the decision module")]
+#[expect(missing_docs, reason = "the variants of `Outcome`")]
 pub enum AttemptOutcome {
     Good,
     Error,
@@ -82,36 +82,36 @@
 /// Why a client's connection was closed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, EncodeLabelValue)]
 pub enum Close {
-    /// By the client, or by an answer that says so.
+    /// The client closed it, or an answer announced the close.
     Served,
-    /// No request came on it for too long.
+    /// No complete request head arrived in time.
     Idle,
-    /// Its descriptor was needed.
+    /// Its descriptor was needed for another connection.
     Evicted,
-    /// The process ends.
+    /// The process is shutting down.
     ShuttingDown,
 }
 
 /// How a watch on discovery ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, EncodeLabelValue)]
 pub enum WatchEnd {
-    /// Nobody listens there.
+    /// Discovery refused the connection.
     Unreachable,
-    /// No connection came up.
+    /// The connection could not be established for another reason.
     Connect,
-    /// Nothing was heard for too long.
+    /// No complete update arrived for too long.
     Silent,
-    /// The call was answered with another status than 200.
+    /// Discovery answered with a status other than 200.
     Status,
-    /// It broke, or was ended in order.
+    /// The connection broke, or discovery closed it.
     Broken,
-    /// What came made no sense.
+    /// An update could not be parsed, or was too long.
     Malformed,
 }
 
-/// How far the list is relied on.
+/// To what extent the list of upstreams is trusted.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, EncodeLabelValue)]
-#[expect(missing_docs, reason = "named as the levels of the decision module")]
+#[expect(missing_docs, reason = "the variants of `TrustLevel`")]
 pub enum Trust {
     Confirmed,
     Held,
@@ -148,7 +148,7 @@
     TrustLabel { level: Trust }
 }
 
-/// The counters of one process.
+/// The metrics of one process.
 #[derive(Debug, Default)]
 pub struct Metrics {
     registry: Registry,
@@ -172,7 +172,7 @@
 }
 
 impl Metrics {
-    /// All at zero.
+    /// Registers all metrics, with their initial value 0.
     #[must_use]
     pub fn new() -> Self {
         let metrics = Self::default();
@@ -233,82 +233,82 @@
         Self { registry, ..metrics }
     }
 
-    /// A request has its answer.
+    /// Counts a request that was answered.
     pub fn request_answered(&self, answer: Answer) {
         self.requests.get_or_create(&AnswerLabel { answer }).inc();
     }
 
-    /// A request was ended unserved.
+    /// Counts a request that was ended unserved.
     pub fn request_unserved(&self, reason: Reason) {
         self.unserved.get_or_create(&ReasonLabel { reason }).inc();
     }
 
-    /// A request's client has left, or its time is up, before it was ended.
+    /// Counts a request whose client disconnected, or whose deadline passed, before it was ended.
     pub fn request_abandoned(&self) {
         self.abandoned.inc();
     }
 
-    /// An attempt has begun; `further` if its request had one before.
+    /// Counts an attempt beyond the first of its request; `is_further` tells whether it is one.
     pub fn attempt_started(&self, is_further: bool) {
         if is_further {
             self.further_attempts.inc();
         }
     }
 
-    /// An attempt has ended.
+    /// Counts an attempt that ended with this outcome.
     pub fn attempt_ended(&self, outcome: Outcome) {
         self.attempts.get_or_create(&OutcomeLabel { outcome: outcome.into() }).inc();
     }
 
-    /// An upstream was ejected.
+    /// Counts the ejection of an upstream.
     pub fn ejected(&self) {
         self.ejections.inc();
     }
 
-    /// A client's connection was closed.
+    /// Counts a client connection that was closed.
     pub fn connection_closed(&self, reason: Close) {
         self.closed.get_or_create(&CloseLabel { reason }).inc();
     }
 
-    /// A connection could not be accepted.
+    /// Counts a failed accept.
     pub fn accept_failed(&self) {
         self.accept_failures.inc();
     }
 
-    /// Discovery is asked for a watch.
+    /// Counts a watch that is requested from discovery.
     pub fn watch_requested(&self) {
         self.watches.inc();
     }
 
-    /// A watch has ended.
+    /// Counts a watch that has ended.
     pub fn watch_ended(&self, reason: WatchEnd) {
         self.watch_ends.get_or_create(&WatchEndLabel { reason }).inc();
     }
 
-    /// The list has changed.
+    /// Sets the version of the current list, and how many of its upstreams are ready and draining.
     pub fn list_changed(&self, version: u64, ready: usize, draining: usize) {
         self.list_version.set(version as i64);
         self.members_ready.set(ready as i64);
         self.members_draining.set(draining as i64);
     }
 
-    /// The list is relied on in another way.
+    /// Counts a change of the trust in the list of upstreams.
     pub fn list_trust_changed(&self, level: TrustLevel) {
         self.list_confirmed.set(i64::from(level == TrustLevel::Confirmed));
         self.list_trust_changes.get_or_create(&TrustLabel { level: level.into() }).inc();
     }
 
-    /// The state at this moment.
+    /// Sets the numbers of pending requests and of open descriptors.
     pub fn set_usage(&self, requests_open: usize, descriptors: usize) {
         self.requests_open.set(requests_open as i64);
         self.descriptors.set(descriptors as i64);
     }
 
-    /// All figures as text.
+    /// All metrics as text.
     #[must_use]
     pub fn text(&self) -> String {
         let mut text = String::new();
-        // Writing to a string does not fail.
+        // Writing to a string cannot fail.
         let _ = encode(&mut text, &self.registry);
         text
     }
--- a/proxy/src/permit.rs
+++ b/proxy/src/permit.rs
@@ -1,14 +1,14 @@
-//! Descriptors counted against the budget of the process.
+//! Counts open sockets against the budget of the process.
 
 use std::cell::Cell;
 use std::rc::Rc;
 
-/// A socket counted against the budget for as long as it lives.
+/// Counts one socket against the budget until it is dropped.
 #[derive(Debug)]
 pub struct Permit(Rc<Cell<usize>>);
 
 impl Permit {
-    /// Counts one more in `sockets`.
+    /// Adds one to `open_sockets` until the permit is dropped.
     #[must_use]
     pub fn acquire(open_sockets: &Rc<Cell<usize>>) -> Self {
         open_sockets.set(open_sockets.get() + 1);
--- a/proxy/src/server.rs
+++ b/proxy/src/server.rs
@@ -1,4 +1,5 @@
-//! Clients: their connections and requests, `/_health`, and the end of the program.
+//! The client side: connections and requests, `/_health` and `/_metrics`, and the drain at the end of the
+//! program.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -38,85 +39,91 @@
 use crate::reload;
 use crate::upstream::{ForwardedRequest, MAX_BODY_BYTES, read_body};
 
-/// Taken off a client's time, and again in each tier below: the answer must arrive before it is up. An answer
-/// goes out within 0.9 ms for 99 in 100 requests (r7909), so this leaves room for a busy core; 30 ms took from
-/// clients that wait 80 ms all that the tier below needs.
+/// Subtracted from the client's time limit, in each tier again, because the answer has to arrive within it.
+/// 99 in 100 answers are sent within 0.9 ms (r7909), so this leaves room for a busy core; 30 ms left
+/// clients that wait 80 ms nothing of what the tier below needs.
 pub const DEADLINE_MARGIN: Duration = Duration::from_millis(8);
-/// Left to the decisions for a last word past that, before the answer is given for them.
+/// How long past the deadline the decisions may still give the final answer, before the request fails.
 pub const FINAL_ANSWER_GRACE: Duration = Duration::from_millis(10);
-/// The program may be killed so long after SIGTERM, beside the longest deadline...
+/// The program may be killed this long after SIGTERM, plus the longest deadline of a class...
 const KILL_GRACE: Duration = Duration::from_millis(700);
 /// ...of which no more than this counts.
 const MAX_COUNTED_DEADLINE: Duration = Duration::from_secs(3);
-/// All answers are out so long before that.
+/// All answers have to be sent this long before the program may be killed.
 const KILL_MARGIN: Duration = Duration::from_millis(200);
-/// Part of the time until then in which connections go on as before: clients may have no other balancer until
-/// this one is back, and use their connections for as long as these stay open. What comes at the end of it
-/// still has some 0.35 s for its answer, three times what half of the answers took on r7000; there 0.6 left
-/// clients without a balancer for a second longer.
+/// Fraction of the drain time during which connections are served as before: clients may have no other
+/// balancer until this one is back, and use their connections for as long as these stay open. A request
+/// that arrives at the end of it still has about 0.35 s for its answer, three times the median in r7000;
+/// with 0.6, clients there were without a balancer for a second longer.
 const DRAIN_OPEN_FRACTION: f64 = 0.9;
-/// Clients' connections that are kept free until then: clients bring no new ones to a balancer that ends, and
-/// where none is free for a moment it may be taken for gone while it could still serve. Two, as one may be taken
-/// while a refusal is on its way on the other; a quarter of them refused every second request on r7000.
+/// Client connections that are kept free during that part of the drain: clients open no new connections to
+/// a balancer that is shutting down, and may take it for gone if none is free for a moment, although it
+/// could still serve. Two, because one may be in use while a refusal is being sent on the other; keeping a
+/// quarter of them free refused every second request in r7000.
 const MIN_FREE_CONNECTIONS: usize = 2;
-/// How long new connections are let in after that at the least.
+/// Minimum time for which new connections are still accepted after that; also the time that the last
+/// answers have to be sent once unanswered requests have failed.
 const FINAL_ACCEPT_TIME: Duration = Duration::from_millis(150);
-/// How long a connection that should close is still given for a request that may be on its way: a new one for its
-/// first, any for the rest of one that has begun to come.
+/// How long a connection that is about to close stays open for a request that may be on its way: a new
+/// connection for its first request, any connection for the rest of a request that has begun to arrive.
 const ARRIVAL_GRACE: Duration = Duration::from_millis(100);
-/// How long a connection that we have ended is still read, so that its last answer arrives: closed over bytes that
-/// nobody has read it is reset, and what the system still holds of the answer is lost. A large one may take so long...
+/// How long a connection is still read after we have closed our side, so that the last answer arrives:
+/// closing a socket with unread bytes resets the connection and discards what the system has not delivered
+/// yet. A large answer may take this long.
 const LINGER_TIMEOUT: Duration = Duration::from_secs(1);
-/// ...and so many bytes are thrown away at most meanwhile: who sends more than a request does not read.
+/// Maximum number of bytes discarded meanwhile: a client that sends more than a request does not read.
 const MAX_LINGER_BYTES: usize = 256 * 1024;
-/// How often the end of a drain is looked for.
+/// How often to check whether the drain is complete.
 const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(10);
-/// A head must be whole so long after its first byte, or after the connection came: whoever sends less is owed
-/// an end of it within 3 s, and holds a socket until then.
+/// Time for a request head to arrive completely, from its first byte or, before the first request, from
+/// when the connection was accepted. A client that sends less has to be disconnected within 3 s, and
+/// occupies a socket until then.
 const HEAD_TIMEOUT: Duration = Duration::from_secs(2);
-/// Its body must have come so long after the same moment.
+/// Time for the request body to arrive completely, from the same moment.
 const BODY_TIMEOUT: Duration = Duration::from_millis(2500);
-/// A connection between requests is closed after this: clients that asked once and stay must not add up.
+/// Idle time after which a client connection is closed: clients that send one request and stay connected
+/// must not accumulate.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(3);
-/// A connection between requests may be closed from then on when sockets run short; sooner is a last resort.
+/// Idle time after which a client connection may be closed when sockets run short; it is closed earlier
+/// only as a last resort.
 const MIN_IDLE_TO_EVICT: Duration = Duration::from_secs(2);
-/// Bytes of a head at most, and so of the buffer that hyper keeps for a connection.
+/// Maximum size of a request head, and so of hyper's buffer for a connection.
 const MAX_HEAD_BYTES: usize = 16 * 1024;
-/// The header by which upstreams know a repeat.
+/// The header by which upstreams recognise a repeated request.
 const IDEMPOTENCY_KEY: &str = "idempotency-key";
-/// Where the operator's figures are.
+/// Path of the operator's metrics.
 const METRICS_PATH: &str = "/_metrics";
-/// Wait after a failed accept, so that running out of descriptors does not spin.
+/// Pause after a failed accept, so that running out of descriptors does not cause a busy loop.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(5);
 
-/// Where the program stands between SIGTERM and its end.
+/// Whether the program serves as usual, or how far its drain has come.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Phase {
     Serving,
-    /// Connections between requests are closed, others with their answer.
+    /// Connections between requests are closed, the others after their answer.
     Closing,
-    /// What has no answer gets none any more.
+    /// Requests that have no answer yet fail.
     Ending,
 }
 
-/// A client's connection as seen from outside it.
+/// The state of a client connection that is shared with the rest of the server.
 struct ClientConnection {
-    /// A request has come on it whose answer is not yet out.
+    /// A request is being answered, or the connection has been chosen for eviction.
     busy: Cell<bool>,
-    /// It has ever carried a request.
+    /// At least one request has been received on it.
     used: Cell<bool>,
-    /// When it came, or its latest answer was made.
+    /// When it was accepted, or its latest answer was made.
     last_activity: Cell<Instant>,
-    /// What has come in of a next request.
+    /// What has been received of the next request.
     input: Rc<PendingInput>,
-    /// It is over for us; at most its last answer is on its way.
+    /// Nothing more is sent on it; at most its last answer is still being delivered.
     finished: Cell<bool>,
-    /// Closes it once it is between requests.
+    /// Asks for the connection to be closed as soon as it is between requests.
     close_requested: Notify,
 }
 
 impl ClientConnection {
-    /// When to close it unless a request comes.
+    /// When to close the connection unless a request arrives; `None` while one is being answered.
     fn expires_at(&self) -> Option<Instant> {
         if self.busy.get() {
             return None;
@@ -128,8 +135,9 @@
         })
     }
 
-    /// How little is lost with it, the least first: one that is ended, or came and brings no request, one long idle,
-    /// any other, one whose next request is coming in.
+    /// Rank for eviction, lowest first: finished connections and those that were accepted but bring no
+    /// request, connections that have been idle for long, any others, and last those whose next request is
+    /// arriving.
     fn eviction_rank(&self) -> (u8, Instant) {
         let last_activity = self.last_activity.get();
         let rank = match (self.used.get(), last_activity.elapsed()) {
@@ -143,24 +151,26 @@
         (rank, last_activity)
     }
 
-    /// Whether it may be closed for the sake of others: clients may count on it for a while.
+    /// Whether it may be closed to free a socket: clients may rely on a recently used connection for a
+    /// while.
     fn is_evictable(&self) -> bool {
         self.eviction_rank().0 <= 1
     }
 }
 
-/// The clients' connections.
+/// All client connections.
 struct Clients {
     driver: Rc<Driver>,
     phases: watch::Receiver<Phase>,
-    /// By the order of their coming.
+    /// By number, in the order accepted.
     connections: RefCell<BTreeMap<u64, Rc<ClientConnection>>>,
     next_number: Cell<u64>,
-    /// SIGTERM has come.
+    /// SIGTERM has been received.
     draining: Cell<bool>,
 }
 
 impl Clients {
+    /// Starts serving an accepted connection; if sockets run short, another connection is closed first.
     fn accept(self: &Rc<Self>, stream: TcpStream) {
         if self.driver.short_of_sockets() {
             self.evict_one();
@@ -176,7 +186,7 @@
         let number = self.next_number.get();
         self.next_number.set(number + 1);
         self.connections.borrow_mut().insert(number, Rc::clone(&connection));
-        // Counted from here on, or a burst of connections would not see itself.
+        // Counted from here on, so that a burst of connections is counted as it is accepted.
         let permit = self.driver.unconditional_permit();
         let clients = Rc::clone(self);
         spawn_local(async move {
@@ -186,8 +196,9 @@
         });
     }
 
-    /// Closes a connection between requests: a client's that may be evicted, which costs it a new one at most, or else
-    /// one to an upstream, or else any client's.
+    /// Closes a connection between requests to free a socket: preferably an evictable client connection,
+    /// which costs the client at most a new one, otherwise an idle upstream connection, otherwise any
+    /// client connection.
     fn evict_one(&self) {
         let connections = self.connections.borrow();
         let candidate = connections
@@ -195,40 +206,41 @@
             .filter(|connection| !connection.busy.get())
             .min_by_key(|connection| connection.eviction_rank());
         if candidate.is_some_and(|connection| connection.is_evictable())
-            || !self.driver.close_least_recently_used()
+            || !self.driver.close_lru_idle_connection()
         {
             let Some(connection) = candidate else { return };
-            // Marked, so that the next in need finds another.
+            // Marked as busy, so that the next call evicts another one.
             connection.busy.set(true);
             connection.close_requested.notify_one();
         }
     }
 
-    /// Whether a request would leave clients too few free connections to go on with. Serving is about to end, so
-    /// a call refused at once, while its client can still reach another balancer, is worth less than the many
-    /// that the free ones still bring. It guards against any pool that gives a busy balancer up, and does harm
-    /// where each connection is a client of its own, which has no use for those of others.
+    /// Whether accepting a request would leave clients too few free connections to continue with. Serving is
+    /// about to end, so refusing a request at once, while its client can still reach another balancer,
+    /// costs less than losing the many requests that the free connections still carry. This protects
+    /// clients whose connection pool gives up a balancer that has no free connection. It does harm where
+    /// each connection is a separate client, which cannot use the connections of others.
     fn lacks_free_connections(&self) -> bool {
         if !self.draining.get() {
             return false;
         }
         let connections = self.connections.borrow();
         let free = connections.values().filter(|connection| !connection.busy.get()).count();
-        // Of few, those kept would be most of them.
+        // With few connections, those kept free would be most of them.
         connections.len() >= MIN_FREE_CONNECTIONS * 2 && free < MIN_FREE_CONNECTIONS
     }
 
-    /// Whether an answer may still be owed on some connection.
+    /// Whether an answer may still be outstanding on some connection.
     fn may_owe_answers(&self) -> bool {
         self.connections.borrow().values().any(|connection| connection.used.get())
     }
 }
 
-/// Binds the address of the configuration and serves until `stop` and the drain after it are over.
-/// `replaced` brings each configuration that takes the place of another.
+/// Binds the configured address and serves until `stop` completes and the drain after it is over. Each
+/// reloaded configuration, or the reason why it could not be read, arrives through `reloads`.
 ///
 /// # Errors
-/// The address is not free, or the settings make no sense.
+/// The address cannot be bound, or the settings are invalid.
 pub async fn serve(
     config: Config,
     reloads: UnboundedReceiver<Result<Config, ConfigError>>,
@@ -239,10 +251,10 @@
     serve_on(listener, config, reloads, stop).await
 }
 
-/// Serves on a listener until `stop` and the drain after it are over; the rest is as in [`serve`].
+/// Serves on a listener that is already bound; otherwise like [`serve`].
 ///
 /// # Errors
-/// The settings make no sense.
+/// The settings are invalid.
 pub async fn serve_on(
     listener: TcpListener,
     config: Config,
@@ -268,8 +280,8 @@
     accept_until(&listener, &clients, sleep(drain_time.mul_f64(DRAIN_OPEN_FRACTION))).await;
     let _ = phase.send(Phase::Closing);
     accept_until(&listener, &clients, sleep(FINAL_ACCEPT_TIME)).await;
-    // Connections that carried a request end with its answer. One that never did is owed nothing; a client
-    // that never takes its answer must not hold up the end.
+    // Connections that carried a request end after its answer. Connections that never did are not waited
+    // for, and a client that never reads its answer must not delay the end.
     while clients.may_owe_answers() && Instant::now() < drain_deadline {
         accept_until(&listener, &clients, sleep(DRAIN_POLL_INTERVAL)).await;
     }
@@ -281,6 +293,7 @@
     Ok(())
 }
 
+/// Accepts client connections until `until` completes.
 async fn accept_until(listener: &TcpListener, clients: &Rc<Clients>, until: impl Future<Output = ()>) {
     let mut until = pin!(until);
     let mut last_logged_at: Option<Instant> = None;
@@ -291,10 +304,11 @@
                 Ok((stream, _)) => clients.accept(stream),
                 Err(error) => {
                     clients.driver.metrics().accept_failed();
-                    // Out of descriptors, most likely: the loop goes on with one given up.
-                    // At most a line a second, or the log would cost more than the trouble.
+                    // Most likely out of descriptors: a connection is closed to free one. Logged at most
+                    // once per second, because logging each failure would cost more than the failure
+                    // itself.
                     if last_logged_at.is_none_or(|at| at.elapsed() >= Duration::from_secs(1)) {
-                        tracing::warn!(%error, "a connection could not be accepted");
+                        tracing::warn!(%error, "accepting a connection failed");
                         last_logged_at = Some(Instant::now());
                     }
                     clients.evict_one();
@@ -306,13 +320,15 @@
     }
 }
 
+/// Serves a client connection until it is closed, by either side.
 async fn serve_client(clients: &Rc<Clients>, stream: TcpStream, connection: &Rc<ClientConnection>) {
-    // Without it answers would wait for acknowledgements; one that can't be set is no reason to hang up.
+    // Without TCP_NODELAY answers would wait for acknowledgements; a failure to set it is no reason to
+    // disconnect.
     let _ = stream.set_nodelay(true);
     let stream = Rc::new(stream);
     let service = service_fn(|request| {
         let (driver, stream) = (&clients.driver, Rc::clone(&stream));
-        // What it began with tells when it must be whole.
+        // The body deadline counts from the request's first byte, or from when the connection was accepted.
         let began_at = connection
             .input
             .pending_since()
@@ -322,7 +338,7 @@
         connection.busy.set(true);
         connection.used.set(true);
         async move {
-            // Its attempt wants a socket too, which clients that only stand by must not keep from it.
+            // The attempt needs a socket too; idle client connections must not keep it from getting one.
             if driver.short_of_sockets() {
                 clients.evict_one();
             }
@@ -337,7 +353,8 @@
         }
     });
     let mut server = http1::Builder::new();
-    // The time for a head is kept below, as it depends on what came before.
+    // The head timeout is enforced by `wait_until_expired`, because it depends on what the connection did
+    // before.
     server.timer(TokioTimer::new()).header_read_timeout(None).max_buf_size(MAX_HEAD_BYTES);
     let inspected_stream = InspectedStream::new(Rc::clone(&stream), Rc::clone(&connection.input));
     let mut http_connection = pin!(server.serve_connection(TokioIo::new(inspected_stream), service));
@@ -346,7 +363,7 @@
         tokio::select! {
             // An error means that the program is ending.
             _ = phases.wait_for(|&phase| phase != Phase::Serving) => Close::ShuttingDown,
-            // Its socket is wanted now; it has been idle for long, and its last answer has arrived.
+            // Its socket is needed now. It has been idle for long, so its last answer has arrived.
             () = connection.close_requested.notified() => {
                 connection.finished.set(true);
                 Close::Evicted
@@ -363,9 +380,9 @@
         () = wait_until_expired(connection) => Close::Idle,
     };
     clients.driver.metrics().connection_closed(reason);
-    tracing::debug!(?reason, used = connection.used.get(), "client connection to be closed");
-    // A request that is coming in is taken first, also where the runtime has not yet heard of it: its last byte may be
-    // on its way, and would be lost.
+    tracing::debug!(?reason, used = connection.used.get(), "closing client connection");
+    // A request that is arriving is read first, even if the runtime has not been notified of it yet: its
+    // last byte may be on its way, and the request would be lost.
     let closing_since = Instant::now();
     let has_pending_input = || connection.input.pending_since().is_some() || has_unread_bytes(&stream);
     while has_pending_input() {
@@ -384,8 +401,9 @@
         }
     }
     http_connection.as_mut().graceful_shutdown();
-    // It ends now if it is between requests, but waits for the first on one that never had any: a new one gets
-    // a moment, as its request may be in the socket, and is then closed like the others.
+    // A connection between requests ends now, but one that never had a request still waits for the first. A
+    // new one is given a moment, because its request may already be in the socket, and is then closed like
+    // the others.
     if !connection.used.get() {
         tokio::select! {
             biased;
@@ -400,13 +418,13 @@
     linger(&stream, connection).await;
 }
 
-/// Whether the system holds bytes of the client's that nobody has read.
+/// Whether the system holds received bytes that have not been read.
 fn has_unread_bytes(stream: &TcpStream) -> bool {
     SockRef::from(stream).peek(&mut [MaybeUninit::uninit()]).is_ok_and(|bytes| bytes > 0)
 }
 
-/// Ends a connection and waits for the client to do so too. What comes until then is no request any more: a client
-/// whose request crosses the end sends it once more elsewhere.
+/// Closes our side of a connection and waits for the client to close its own. Bytes that arrive until then
+/// are not treated as a request: a client whose request crosses the close sends it again elsewhere.
 async fn linger(stream: &TcpStream, connection: &ClientConnection) {
     let _ = SockRef::from(stream).shutdown(Shutdown::Write);
     if connection.finished.replace(true) {
@@ -433,11 +451,11 @@
     }
 }
 
-/// Waits until a connection has gone without a request for too long.
+/// Completes when a connection has had no request, or an incomplete one, for too long.
 async fn wait_until_expired(connection: &ClientConnection) {
     loop {
         let now = Instant::now();
-        // A request that is being answered has time-outs of its own.
+        // A request that is being answered has its own timeouts.
         let deadline = connection.expires_at().unwrap_or(now + IDLE_TIMEOUT);
         if deadline <= now {
             return;
@@ -446,32 +464,32 @@
     }
 }
 
-/// What is wrong with a client's request.
+/// Why a client's request is rejected as malformed.
 #[derive(Debug, Error, PartialEq, Eq)]
 enum BadRequest {
     #[error("no such class")]
     UnknownClass,
     #[error("no such tenant")]
     UnknownTenant,
-    #[error("the deadline is not a time in seconds")]
+    #[error("the deadline is not a number of seconds")]
     InvalidDeadline,
     #[error("no request id")]
     MissingId,
-    #[error("the method does not fit the class")]
+    #[error("the class does not allow this method")]
     WrongMethod,
-    #[error("the class wants an idempotency key")]
+    #[error("the class requires an idempotency key")]
     MissingIdempotencyKey,
     #[error("the body is too large")]
     TooLarge,
-    #[error("the body broke off")]
+    #[error("the body is incomplete")]
     IncompleteBody,
-    #[error("the body came too slowly")]
+    #[error("the body was not received in time")]
     BodyTimeout,
     #[error("{0}")]
     AmbiguousLength(#[from] AmbiguousLength),
-    #[error("what follows the body is no request")]
+    #[error("the bytes after the body are not a request")]
     TrailingGarbage,
-    #[error("a request with this id is open")]
+    #[error("a request with this id is in progress")]
     DuplicateId,
 }
 
@@ -485,7 +503,7 @@
         }
     }
 
-    /// Whether it leaves in doubt where the next request begins.
+    /// Whether it leaves in doubt where the next request begins, so that the connection has to be closed.
     fn closes_connection(&self) -> bool {
         matches!(
             self,
@@ -498,6 +516,7 @@
     }
 }
 
+/// Makes the response to a request; `framing` tells whether its length is unambiguous.
 async fn respond(
     clients: &Clients,
     request: Request<Incoming>,
@@ -516,7 +535,7 @@
         response.headers_mut().insert(CONTENT_TYPE, HeaderValue::from_static(metrics::MEDIA_TYPE));
         return response;
     }
-    // Where a chunked body ends is not noted, so that what follows it would be read unseen.
+    // The end of a chunked body is not tracked, so that what follows it would not be checked.
     let chunked = request.headers().contains_key(TRANSFER_ENCODING);
     let answer = async {
         framing?;
@@ -524,11 +543,16 @@
         if input.is_followed_by_garbage() {
             return Err(BadRequest::TrailingGarbage);
         }
-        // No socket is left for an attempt either, or no connection for clients; nothing has run.
+        // There is no socket for an attempt, or too few connections would stay free; nothing has been
+        // executed.
         if driver.over_socket_budget() || clients.lacks_free_connections() {
             let reason = if driver.over_socket_budget() { Reason::Descriptors } else { Reason::ShuttingDown };
             driver.metrics().request_unserved(reason);
-            tracing::debug!(id = %request.forwarded.request_id.as_bytes().escape_ascii(), ?reason, "request refused");
+            tracing::debug!(
+                id = %request.forwarded.request_id.as_bytes().escape_ascii(),
+                ?reason,
+                "request refused"
+            );
             return Ok(Answer::Refused { retry_after: driver.in_force().retry_after() });
         }
         await_answer(clients, request, input.client_disconnected(stream)).await.ok_or(BadRequest::DuplicateId)
@@ -580,7 +604,8 @@
     response
 }
 
-/// Tells the driver of a client that leaves before its answer: the connection drops this with the request.
+/// Tells the driver that the client has disconnected before its answer: hyper drops this together with the
+/// request's future when the connection ends.
 struct AbandonOnDrop {
     driver: Rc<Driver>,
     id: RequestId,
@@ -592,7 +617,7 @@
     }
 }
 
-/// Has the request answered; `None` if one with its id is open.
+/// Waits for the final answer to a request; `None` if a request with the same id is in progress.
 async fn await_answer(
     clients: &Clients,
     request: ClientRequest,
@@ -606,10 +631,10 @@
     let answer = tokio::select! {
         biased;
         answer = answer => answer.unwrap_or(Answer::Failed),
-        // Nobody reads this one; the connection finds the same end behind it.
+        // Nobody reads this answer; hyper finds the connection closed as well.
         () = client_disconnected => Answer::Failed,
         () = sleep_until(answer_deadline) => Answer::Failed,
-        // The program ends: better a failure than a connection that breaks.
+        // The program is ending: a failure is better than a broken connection.
         _ = phases.wait_for(|&phase| phase == Phase::Ending) => Answer::Failed,
     };
     drop(abandon_guard);
@@ -620,25 +645,26 @@
     headers.get(name).and_then(|value| value.to_str().ok())
 }
 
-/// A header that says something.
+/// The value of a header, unless it is absent or empty.
 fn non_empty_header(headers: &HeaderMap, name: &str) -> Option<HeaderValue> {
     headers.get(name).filter(|value| !value.is_empty()).cloned()
 }
 
-/// Seconds as a client writes them.
+/// Parses a time in seconds, as clients write it.
 fn parse_seconds(value: &str) -> Option<Duration> {
     value.trim().parse().ok().and_then(|seconds| Duration::try_from_secs_f64(seconds).ok())
 }
 
-/// What the settings say of a request.
+/// What the settings determine about a request.
 struct Classification {
     class: ClassId,
     tenant: Option<TenantId>,
-    /// How long its client waits.
+    /// How long the client waits for the answer.
     time_limit: Duration,
 }
 
-/// Reads a request's head by the settings in force.
+/// Finds a request's class, tenant and time limit by the settings in force, and checks that its method and
+/// headers fit the class.
 fn classify(in_force: &InForce, head: &Parts) -> Result<Classification, BadRequest> {
     let names = in_force.names();
     let class = head.uri.path().trim_start_matches('/').split('/').next().unwrap_or_default();
@@ -659,7 +685,7 @@
         None if names.tenants.is_empty() => None,
         None => return Err(BadRequest::UnknownTenant),
     };
-    // A client that does not say how long it waits is held to wait as long as its class allows.
+    // A client that states no deadline is taken to wait as long as its class allows.
     let time_limit = match head.headers.get("x-deadline") {
         Some(value) => value.to_str().ok().and_then(parse_seconds).ok_or(BadRequest::InvalidDeadline)?,
         None => class_settings.deadline,
@@ -667,7 +693,7 @@
     Ok(Classification { class, tenant, time_limit: time_limit.min(class_settings.deadline * 10) })
 }
 
-/// Reads a request to its last byte.
+/// Reads a request including its body, and checks it against the settings in force.
 async fn read_request(
     driver: &Driver,
     request: Request<Incoming>,
@@ -686,7 +712,8 @@
         Ok(Err(error)) if error.is::<LengthLimitError>() => return Err(BadRequest::TooLarge),
         Ok(Err(_)) => return Err(BadRequest::IncompleteBody),
     };
-    // What came into force while it came in holds for it: an effect that asks for a key must not pass without one.
+    // Settings that took effect while the body arrived apply to it: a request must not pass without an
+    // idempotency key that its class now requires.
     let in_force = driver.in_force();
     if !Rc::ptr_eq(&initial_in_force, &in_force) {
         classification = self::classify(&in_force, &head)?;
@@ -711,7 +738,7 @@
     })
 }
 
-/// What goes on is the path, also of a request that names its host there.
+/// Only path and query are forwarded, also of a request whose URI names the host.
 fn path_only(uri: Uri) -> Uri {
     if uri.scheme().is_none() {
         return uri;
@@ -719,7 +746,7 @@
     uri.into_parts().path_and_query.map(Uri::from).unwrap_or_default()
 }
 
-/// What a request is about, from the query parameter `k`.
+/// The resource that a request is about, from the query parameter `k` (hexadecimal).
 fn resource_key(query: Option<&str>) -> Option<u64> {
     let value = query?.split('&').find_map(|pair| pair.strip_prefix("k="))?;
     u64::from_str_radix(value, 16).ok()
--- a/proxy/src/server/tests.rs
+++ b/proxy/src/server/tests.rs
@@ -1,11 +1,13 @@
-//! The crossings on a connection that only its own state can put in order.
+//! Requests that race with the close of their connection; the order of events is controlled through the
+//! connection's state.
 
 use super::*;
 use crate::config::tests::CONFIGURATION;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::task::{LocalSet, yield_now};
 
-/// A client's connection that is served, what ends the serving, and its state.
+/// Serves one client connection: returns the sender of the phase, the connection's state and the client's
+/// end.
 async fn connect_client() -> (watch::Sender<Phase>, Rc<ClientConnection>, TcpStream) {
     let config = Config::parse(CONFIGURATION, |_| None).expect("a sound configuration");
     let (phase, phases) = watch::channel(Phase::Serving);
@@ -18,19 +20,19 @@
     });
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
     let client = TcpStream::connect(listener.local_addr().expect("bound")).await.expect("accepted");
-    clients.accept(listener.accept().await.expect("comes").0);
+    clients.accept(listener.accept().await.expect("a connection").0);
     let connection = clients.connections.borrow().values().next().map(Rc::clone).expect("accepted");
     (phase, connection, client)
 }
 
-/// Guards a request whose bytes come in two pieces, with the end of serving between them: it is answered
+/// A request that arrives in two pieces, with the change to `Phase::Closing` between them, is answered
 /// before its connection closes.
 #[test]
 fn a_partly_received_request_is_answered_before_its_connection_closes() {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("starts");
     LocalSet::new().block_on(&runtime, async {
         let mut in_time = false;
-        // On a machine that stands still in between there is nothing to see: once more then.
+        // If the machine stalls in between, the grace period is over and nothing can be checked: try again.
         while !in_time {
             let (phase, connection, mut client) = connect_client().await;
             let mut answer = [0; 1024];
@@ -41,7 +43,7 @@
                 yield_now().await;
             }
             let closing_since = Instant::now();
-            phase.send(Phase::Closing).expect("it is watched");
+            phase.send(Phase::Closing).expect("the phase is watched");
             for _ in 0..10 {
                 yield_now().await;
             }
@@ -56,8 +58,9 @@
     });
 }
 
-/// Guards a request that reaches a resting connection in the moment of its end: there before it, though the runtime has
-/// not yet heard of it, it is answered; come behind it, it is left alone for the client to send elsewhere.
+/// A request may reach an idle connection at the moment it is closed. One that arrived before the close is
+/// answered, even if the runtime has not been notified of it yet; one that arrives after it is ignored, so
+/// that the client sends it elsewhere.
 #[test]
 fn a_request_that_races_with_the_close_of_an_idle_connection_is_answered_or_ignored() {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("starts");
@@ -69,25 +72,32 @@
             client.write_all(request).await.expect("open");
             assert!(client.read(&mut answer).await.expect("open") > 0);
             if closed_first {
-                phase.send(Phase::Closing).expect("it is watched");
-                assert_eq!(client.read(&mut answer).await.expect("it is ended in order"), 0);
+                phase.send(Phase::Closing).expect("the phase is watched");
+                assert_eq!(
+                    client.read(&mut answer).await.expect("the connection is closed without a reset"),
+                    0
+                );
                 let answered_at = connection.last_activity.get();
-                client.write_all(request).await.expect("its other side is still read");
-                // It is thrown away, not closed over, or the connection would be reset; and not answered.
+                client.write_all(request).await.expect("the balancer still reads");
+                // The bytes are discarded and not answered; closing the socket with unread bytes would
+                // reset the connection.
                 client.shutdown().await.expect("open");
                 while Rc::strong_count(&connection) > 1 {
                     yield_now().await;
                 }
-                assert_eq!(client.read(&mut answer).await.expect("it is not reset"), 0);
-                assert_eq!(connection.last_activity.get(), answered_at, "it was answered");
+                assert_eq!(client.read(&mut answer).await.expect("the connection is not reset"), 0);
+                assert_eq!(connection.last_activity.get(), answered_at, "the late request was answered");
             } else {
-                // Nothing is waited for in between, so that the runtime can't have heard of the request.
+                // No await in between, so that the runtime cannot have been notified of the request.
                 client.write_all(request).await.expect("open");
-                phase.send(Phase::Closing).expect("it is watched");
-                let bytes = client.read(&mut answer).await.expect("it is not reset");
+                phase.send(Phase::Closing).expect("the phase is watched");
+                let bytes = client.read(&mut answer).await.expect("the connection is not reset");
                 let text = String::from_utf8_lossy(&answer[..bytes]).to_lowercase();
                 assert!(text.starts_with("http/1.1 503") && text.contains("connection: close"), "{text}");
-                assert_eq!(client.read(&mut answer).await.expect("it is ended in order"), 0);
+                assert_eq!(
+                    client.read(&mut answer).await.expect("the connection is closed without a reset"),
+                    0
+                );
             }
         }
     });
--- a/proxy/src/upstream.rs
+++ b/proxy/src/upstream.rs
@@ -1,4 +1,4 @@
-//! Connections to upstreams and the attempts on them: what is sent, and what became of it.
+//! Connections to upstreams and the attempts made on them: what is sent, and with what result.
 
 use std::cell::{Cell, RefCell};
 use std::error::Error;
@@ -30,45 +30,45 @@
 use crate::driver::Driver;
 use crate::permit::Permit;
 
-/// Bytes of a body at most, either way.
+/// Maximum size of a body, of requests and responses.
 pub const MAX_BODY_BYTES: usize = 64 * 1024;
-/// Bytes of an answer's head at most, and so of the buffer that hyper keeps for a connection.
+/// Maximum size of a response head, and so of hyper's buffer for a connection.
 const MAX_HEAD_BYTES: usize = 16 * 1024;
-/// Bytes that may come in for one request: a body in the smallest chunks that are still sensible, and some
-/// interim answers before it. More is an answer that does not end.
+/// Maximum number of bytes received for one request: enough for a body in the smallest reasonable chunks
+/// and some interim responses before it. A longer response is taken for one that never ends.
 const MAX_ANSWER_BYTES: u64 = 512 * 1024;
-/// How long a connection may take to be ready again after an answer. One whose upstream answered without
-/// reading the request to its end never is.
+/// How long a connection may take to become ready again after a response. If the upstream answered without
+/// reading the whole request, it never does.
 const READY_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Why there is no connection.
+/// Why a connection could not be opened.
 #[derive(Debug, Error)]
 pub enum ConnectError {
-    /// The peer does not take it.
+    /// The peer refused it, or the system reported another error.
     #[error("{0}")]
     Failed(#[from] io::Error),
-    /// It did not come up in time.
-    #[error("it did not come up in time")]
+    /// It was not established in time.
+    #[error("connecting timed out")]
     TimedOut,
-    /// It broke as it came up.
+    /// It broke while HTTP was set up on it.
     #[error("{0}")]
     Broken(#[from] hyper::Error),
 }
 
-/// Where to connect and how long to wait for it.
+/// Where to connect, and how long to wait for the connection.
 #[derive(Debug, Clone, Copy)]
 pub struct ConnectTarget {
-    /// The address.
+    /// The address to connect to.
     pub address: SocketAddr,
-    /// The longest wait.
+    /// How long connecting may take.
     pub timeout: Duration,
 }
 
-/// An open connection. Dropping it closes the socket, whatever is still under way on it: an attempt that is
-/// no longer waited for must not come to its end unseen.
+/// An open connection. Dropping it closes the socket, even if an exchange is in progress: an attempt that
+/// is no longer waited for must not complete unobserved.
 #[derive(Debug)]
 pub struct Connection {
-    /// Sends a request.
+    /// Sends requests on the connection.
     pub sender: SendRequest<Full<Bytes>>,
     traffic: Rc<Traffic>,
     task: AbortHandle,
@@ -81,7 +81,7 @@
 }
 
 impl Connection {
-    /// Whether a request may go out on it: the last answer is through and the peer has not closed.
+    /// Whether a request may be sent on it: the last response is complete and the peer has not closed it.
     #[must_use]
     pub fn is_free(&self) -> bool {
         self.sender.is_ready()
@@ -91,7 +91,7 @@
 /// Opens a connection.
 ///
 /// # Errors
-/// It does not come up.
+/// The connection cannot be established.
 pub async fn connect(permit: Permit, target: ConnectTarget) -> Result<Connection, ConnectError> {
     let stream = timeout(target.timeout, TcpStream::connect(target.address))
         .await
@@ -99,28 +99,29 @@
     start_http(permit, stream).await
 }
 
-/// Makes a connection of a stream that has come up.
+/// Starts HTTP on an established TCP connection.
 async fn start_http(permit: Permit, stream: TcpStream) -> Result<Connection, ConnectError> {
-    // Without it requests may wait for acknowledgements; one that can't be set is no reason to hang up, as the
-    // upstream has paid for the connection, and for each that would be opened in its place.
+    // Without TCP_NODELAY requests may wait for acknowledgements. A failure to set it is no reason to
+    // disconnect: the upstream has paid for the connection, and would pay for each one opened in its place.
     let _ = stream.set_nodelay(true);
     let traffic = Rc::new(Traffic { written_bytes: Cell::new(0), read_allowance: Cell::new(u64::MAX) });
     let io = CountedStream { stream, traffic: Rc::clone(&traffic), _permit: permit };
     let (sender, connection) =
         http1::Builder::new().max_buf_size(MAX_HEAD_BYTES).handshake(TokioIo::new(io)).await?;
     let task = tokio::task::spawn_local(async move {
-        // How it ends shows in the request that is out on it, if one is.
+        // An error also shows in the request that is in progress on it, if there is one.
         let _ = connection.await;
     });
     Ok(Connection { sender, traffic, task: task.abort_handle() })
 }
 
-/// What has gone over a connection for its current request.
+/// Bytes transferred on a connection for its current request.
 #[derive(Debug)]
 struct Traffic {
-    /// Bytes of the request that the socket has taken: what was never written whole never ran.
+    /// Bytes of the request that the socket has accepted: a request that was never written completely was
+    /// never executed.
     written_bytes: Cell<u64>,
-    /// Bytes that may still be read.
+    /// Bytes that may still be received.
     read_allowance: Cell<u64>,
 }
 
@@ -131,7 +132,7 @@
     }
 }
 
-/// A socket that counts.
+/// A socket that counts the bytes transferred.
 struct CountedStream {
     stream: TcpStream,
     traffic: Rc<Traffic>,
@@ -139,8 +140,9 @@
 }
 
 impl CountedStream {
-    /// Nothing that has come before a request may answer it: not what was left over from the one before, nor
-    /// what came since. The socket itself is asked, as the runtime may not have heard of it yet.
+    /// Fails if anything has been received before the request is sent, left over from the previous one or
+    /// received since: it must not be taken for the response. Peeks at the socket, because the runtime may
+    /// not have been notified yet.
     fn check_nothing_received(&self) -> io::Result<()> {
         if self.traffic.written_bytes.get() > 0 {
             return Ok(());
@@ -148,9 +150,10 @@
         match SockRef::from(&self.stream).peek(&mut [MaybeUninit::uninit()]) {
             Err(error) if error.kind() == io::ErrorKind::WouldBlock => Ok(()),
             Err(error) => Err(error),
-            Ok(_) => {
-                Err(io::Error::new(io::ErrorKind::ConnectionAborted, "something came before the request"))
-            }
+            Ok(_) => Err(io::Error::new(
+                io::ErrorKind::ConnectionAborted,
+                "received data before the request was sent",
+            )),
         }
     }
 
@@ -175,7 +178,7 @@
             None => {
                 return Poll::Ready(Err(io::Error::new(
                     io::ErrorKind::InvalidData,
-                    "the answer is too long",
+                    "the response is too long",
                 )));
             }
         }
@@ -217,20 +220,20 @@
     }
 }
 
-/// What of a client's request goes on to upstreams, the same in each attempt.
+/// The part of a client's request that is forwarded to upstreams, the same in each attempt.
 #[derive(Debug)]
 pub struct ForwardedRequest {
-    /// The method.
+    /// The client's method.
     pub method: Method,
     /// Path and query.
     pub uri: Uri,
-    /// `Host`.
+    /// The `Host` header.
     pub host: HeaderValue,
-    /// `X-Request-Id`.
+    /// The `X-Request-Id` header.
     pub request_id: HeaderValue,
-    /// `Idempotency-Key`.
+    /// The `Idempotency-Key` header, if the client sent one.
     pub idempotency_key: Option<HeaderValue>,
-    /// The body.
+    /// The complete body.
     pub body: Bytes,
 }
 
@@ -255,8 +258,8 @@
     }
 }
 
-/// Bytes of a request on the socket, as few as they can be: counted low, so that a doubt is settled as 'may
-/// have run'.
+/// Minimum number of bytes of a request on the socket: a low count, so that in doubt a request counts as
+/// possibly executed.
 fn min_bytes_on_wire(request: &Request<Full<Bytes>>, body_bytes: usize) -> u64 {
     let path = request.uri().path_and_query().map_or(1, |path| path.as_str().len());
     let line = request.method().as_str().len() + 1 + path + " HTTP/1.1\r\n".len();
@@ -268,35 +271,35 @@
     (line + headers + "\r\n".len() + body_bytes) as u64
 }
 
-/// An attempt to make.
+/// An attempt that is to be made.
 #[derive(Debug)]
 pub struct AttemptSpec {
-    /// The request.
+    /// The request that the attempt belongs to.
     pub request: RequestId,
-    /// The attempt.
+    /// The attempt's number within the request.
     pub attempt: AttemptNumber,
-    /// Where to.
+    /// The upstream to send it to.
     pub upstream: UpstreamId,
-    /// Its address.
+    /// The upstream's address.
     pub address: SocketAddr,
-    /// What to send.
+    /// The request to send.
     pub forwarded: Rc<ForwardedRequest>,
-    /// When it was asked for.
+    /// When the decisions asked for the attempt.
     pub requested_at: Instant,
-    /// When it is given up.
+    /// When the attempt is given up.
     pub deadline: Instant,
-    /// When its sending must have begun.
+    /// Sending must not start later than this.
     pub latest_start: Instant,
 }
 
-/// How an attempt ended.
+/// The result of an attempt.
 #[derive(Debug)]
 pub struct AttemptResult {
-    /// The outcome.
+    /// How it ended.
     pub outcome: Outcome,
-    /// The answer's body, if served.
+    /// The body of the response, if the request was served.
     pub body: Option<Bytes>,
-    /// The load report, if one came.
+    /// The upstream's load report, if the response carried one.
     pub load: Option<LoadReport>,
 }
 
@@ -306,18 +309,18 @@
     }
 }
 
-/// How much of an attempt's request is on its way.
+/// How much of an attempt's request has been written.
 #[derive(Debug)]
 pub struct Progress {
     traffic: RefCell<Option<Rc<Traffic>>>,
     request_bytes: Cell<u64>,
-    /// When its latest connection was up and it began to go out.
+    /// When sending began on the latest connection.
     send_started_at: Cell<Option<Instant>>,
 }
 
 impl Default for Progress {
     fn default() -> Self {
-        // Before anything is sent, no size is reached.
+        // The size is not known before sending begins, and must not count as reached.
         Self {
             traffic: RefCell::default(),
             request_bytes: Cell::new(u64::MAX),
@@ -327,20 +330,21 @@
 }
 
 impl Progress {
-    /// Whether the last byte is written, so that it may run.
+    /// Whether the last byte is written, so that the request may be executed.
     #[must_use]
     pub fn is_fully_written(&self) -> bool {
         self.written_bytes() >= self.request_bytes.get()
     }
 
-    /// Whether its first byte is written.
+    /// Whether the first byte is written.
     #[must_use]
     pub fn has_begun(&self) -> bool {
         self.written_bytes() > 0
     }
 
-    /// How long the upstream has had the request. What its connection took to come up tells of the way there and
-    /// not of its work: counted in, connections that come up late would pass for congestion.
+    /// How long the upstream has had the request; counted from `requested_at` if sending never began. The
+    /// time for connecting says something about the network and not about the upstream's work: if it were
+    /// included, slow connects would look like congestion.
     #[must_use]
     pub fn time_at_upstream(&self, requested_at: Instant) -> Duration {
         self.send_started_at.get().unwrap_or(requested_at).elapsed()
@@ -351,7 +355,8 @@
     }
 }
 
-/// Makes an attempt and tells the driver how it ended; `end` ends it from outside.
+/// Makes an attempt and reports its result to the driver; an outcome sent through `cancelled` ends it
+/// early.
 pub async fn run_attempt(
     driver: Rc<Driver>,
     spec: AttemptSpec,
@@ -360,16 +365,16 @@
 ) {
     let (result, connection) = await_result(&driver, &spec, &progress, cancelled).await;
     driver.attempt_ended(&spec, progress.time_at_upstream(spec.requested_at), result);
-    // The answer goes out first; then the connection is made ready for the next request.
+    // The result is reported first; then the connection becomes ready for the next request.
     if let Some(mut connection) = connection
         && let Ok(Ok(())) = timeout(READY_TIMEOUT, connection.sender.ready()).await
     {
-        driver.store_idle(spec.upstream, spec.address, connection);
+        driver.store_idle_connection(spec.upstream, spec.address, connection);
     }
 }
 
-/// Runs an attempt until it has its outcome, its time is up or `end` ends it; its connection comes back if it may
-/// carry another request.
+/// Runs an attempt until it has a result, its deadline passes or it is cancelled; also returns its
+/// connection if that may carry another request.
 async fn await_result(
     driver: &Rc<Driver>,
     spec: &AttemptSpec,
@@ -381,15 +386,17 @@
         biased;
         finished = exchange.as_mut() => finished,
         outcome = cancelled => match outcome {
-            // Told as it waited for its connection, and written whole before its turn: it runs, and is waited for.
+            // It was cancelled while waiting for its connection, but completely written before this task
+            // ran: the upstream executes it, so the response is awaited.
             Ok(Outcome::ConnectFailed) if progress.is_fully_written() => exchange.await,
             Ok(outcome) => return (outcome.into(), None),
-            // Nobody ends it any more.
+            // The sender was dropped, so that nothing can cancel the attempt any more.
             Err(_) => exchange.await,
         },
     };
     finished.unwrap_or_else(|_| {
-        // The exchange is over, and its connection closed with it: before its last byte was written, it never runs.
+        // The exchange has ended and its connection is closed: if the last byte was not written, the
+        // request is never executed.
         let outcome = if progress.is_fully_written() { Outcome::TimedOut } else { Outcome::ConnectFailed };
         (outcome.into(), None)
     })
@@ -401,7 +408,7 @@
     progress: &Progress,
 ) -> (AttemptResult, Option<Connection>) {
     loop {
-        let idle = driver.take_idle(spec.upstream);
+        let idle = driver.take_idle_connection(spec.upstream);
         let is_new = idle.is_none();
         let mut connection = match idle {
             Some(connection) => connection,
@@ -411,7 +418,7 @@
                     address: spec.address,
                     timeout: driver.in_force().connect_timeout().min(time_to_start),
                 };
-                // Short of sockets is no fault of the upstream's.
+                // A lack of sockets is not the upstream's failure.
                 let Some(permit) = driver.try_permit() else { return (Outcome::NotSent.into(), None) };
                 match connect(permit, target).await {
                     Ok(connection) => connection,
@@ -419,8 +426,9 @@
                 }
             }
         };
-        // While it connected, the upstream may have begun to drain, or gone: nothing new goes there. Nor does a
-        // repeat once the upstreams may have forgotten what they would know it by.
+        // While the connection was opened the upstream may have begun to drain or been removed, and gets no
+        // new requests. Nor is a retry sent once upstreams may have forgotten the request that they would
+        // recognise it by.
         if !driver.accepts_new_requests(spec.upstream, spec.address) || Instant::now() > spec.latest_start {
             return (Outcome::ConnectFailed.into(), None);
         }
@@ -435,7 +443,8 @@
                 None => (Outcome::Reset.into(), None),
             };
         }
-        // A kept connection that turns out closed, or spoilt, before a byte went out has sent nothing.
+        // Nothing was sent on an idle connection that was found closed, or with unexpected bytes, before
+        // the first byte was written: another one is tried.
         if !is_new && !progress.has_begun() {
             continue;
         }
@@ -444,11 +453,11 @@
     }
 }
 
-/// Reads a body to its end into memory of its own: a piece of a byte, kept as it came, holds on to all that came with
-/// it, and thousands of them would fill the memory.
+/// Reads a complete body into a buffer of its own. A frame as received keeps the whole read buffer alive,
+/// even if it is a single byte, and thousands of them would fill the memory.
 ///
 /// # Errors
-/// It is longer than bodies are, or breaks off.
+/// The body is larger than [`MAX_BODY_BYTES`], or incomplete.
 pub async fn read_body(body: Incoming) -> Result<Bytes, Box<dyn Error + Send + Sync>> {
     let mut body = Limited::new(body, MAX_BODY_BYTES);
     let mut bytes = Vec::new();
@@ -460,22 +469,23 @@
     Ok(bytes.into())
 }
 
-/// Reads an answer to its end; `None` if it is spoilt: it breaks off, is longer than answers are, or says where it
-/// ends in a way that may be misread. Whatever it said before, its request may have run.
+/// Reads a complete response. `None` if it cannot be used: it is incomplete or too large, or its length may
+/// be misread. Whatever it said, the request may have been executed.
 async fn read_answer(driver: &Driver, response: Response<Incoming>) -> Option<AttemptResult> {
     let (head, body) = response.into_parts();
     let load = head.headers.get("x-load").and_then(|value| parse_load_report(driver, value));
-    // A 503 without the mark, an upstream's own or of a tier behind it, may have run.
+    // A request whose 503 or 504 lacks the mark, because it is the upstream's own or from a tier behind it,
+    // may have been executed.
     let not_run = matches!(head.status, StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT)
         && head.headers.get("x-not-run").is_some_and(|value| value.as_bytes() == b"1");
     let mut transfer_encodings = head.headers.get_all(TRANSFER_ENCODING).iter();
     let has_clear_end = match (transfer_encodings.next(), transfer_encodings.next()) {
-        // Without a length it ends with its connection, if that ends in order: a reset is an error of the body.
+        // Without a length the body ends when the connection closes; a reset is an error of the body.
         (None, _) => true,
         (Some(encoding), None) => {
             encoding.as_bytes().eq_ignore_ascii_case(b"chunked") && !head.headers.contains_key(CONTENT_LENGTH)
         }
-        // Of several only the last would be looked at.
+        // Of several headers only the last would be looked at.
         (Some(_), Some(_)) => false,
     };
     if !has_clear_end || body.size_hint().lower() > MAX_BODY_BYTES as u64 {
@@ -490,7 +500,7 @@
     Some(AttemptResult { outcome, body: (outcome == Outcome::Good).then_some(body), load })
 }
 
-/// Reads `name=value,name=value`.
+/// Parses `name=value,name=value`; fields that the settings do not name are ignored.
 fn parse_load_report(driver: &Driver, value: &HeaderValue) -> Option<LoadReport> {
     let in_force = driver.in_force();
     let mut report = LoadReport::default();
--- a/proxy/src/upstream/tests.rs
+++ b/proxy/src/upstream/tests.rs
@@ -1,4 +1,4 @@
-//! What goes out on a connection, counted to the byte.
+//! What is sent on a connection, counted to the byte, and when an attempt counts as possibly executed.
 
 use super::*;
 use crate::config::Config;
@@ -16,8 +16,8 @@
     }
 }
 
-/// Guards the line between 'never ran' and 'may have run': the size reckoned beforehand is what goes out,
-/// so that a request short of one byte is known to be.
+/// Guards the distinction between 'never executed' and 'may have been executed': the size computed in
+/// advance is exactly what is written, so that a request that lacks one byte is known to be incomplete.
 #[test]
 fn the_computed_size_is_what_is_written() {
     let runtime = tokio::runtime::Builder::new_current_thread().build().expect("starts");
@@ -32,7 +32,7 @@
                 http1::handshake::<_, Full<Bytes>>(TokioIo::new(near)).await.expect("no bytes yet");
             let upstream = async {
                 let mut bytes = vec![0; size as usize];
-                far.read_exact(&mut bytes).await.expect("so many bytes come");
+                far.read_exact(&mut bytes).await.expect("all computed bytes arrive");
                 far.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\nConnection: close\r\n\r\n")
                     .await
                     .expect("read");
@@ -48,20 +48,20 @@
     }
 }
 
-/// Guards a request against being answered by what was left over: bytes that have come before its first
-/// byte is written keep it from going out, also where the runtime has not yet heard of them.
+/// Guards a request against being answered by left-over bytes: anything received before its first byte is
+/// written prevents sending, even if the runtime has not been notified of it yet.
 #[test]
 fn nothing_is_written_after_unsolicited_bytes() {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("starts");
     runtime.block_on(async {
         let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.expect("a free port");
         let near = TcpStream::connect(listener.local_addr().expect("bound")).await.expect("accepted");
-        let far = listener.accept().await.expect("comes").0.into_std().expect("free");
+        let far = listener.accept().await.expect("a connection").0.into_std().expect("free");
         let traffic = Rc::new(Traffic { written_bytes: Cell::new(0), read_allowance: Cell::new(u64::MAX) });
         let sockets = Rc::new(Cell::new(1));
         let _permit = Permit::acquire(&sockets);
         let mut near = CountedStream { stream: near, traffic, _permit };
-        assert_eq!(near.write(b"GET").await.expect("clean"), 3);
+        assert_eq!(near.write(b"GET").await.expect("nothing received"), 3);
         near.traffic.begin_request();
         std::io::Write::write_all(&mut &far, b"HTTP/1.1 200 OK\r\n").expect("written");
         while near.check_nothing_received().is_ok() {
@@ -72,8 +72,8 @@
     });
 }
 
-/// Guards connections that are up: one whose socket does not take an option carries requests all the same.
-/// A Unix socket stands in for it, as it knows nothing of `TCP_NODELAY`.
+/// An established connection carries requests even if a socket option cannot be set on it. A Unix socket
+/// stands in for such a connection, because it does not support `TCP_NODELAY`.
 #[test]
 fn a_connection_is_used_although_a_socket_option_cannot_be_set() {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("starts");
@@ -86,10 +86,10 @@
         assert!(near.set_nodelay(true).is_err());
         let mut far = tokio::net::UnixStream::from_std(far).expect("not blocking");
         let sockets = Rc::new(Cell::new(0));
-        let mut connection = start_http(Permit::acquire(&sockets), near).await.expect("it is up");
+        let mut connection = start_http(Permit::acquire(&sockets), near).await.expect("established");
         connection.traffic.begin_request();
         let upstream = async {
-            let _ = far.read(&mut [0; 1024]).await.expect("a request comes");
+            let _ = far.read(&mut [0; 1024]).await.expect("a request arrives");
             far.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n").await.expect("open");
         };
         let request = forwarded(Method::GET, b"").to_http(Duration::from_secs(1));
@@ -98,7 +98,7 @@
     });
 }
 
-/// Guards the same line for an attempt that is given up half-way.
+/// Guards the same distinction for an attempt that is given up half-way.
 #[test]
 fn a_request_is_fully_written_with_its_last_byte() {
     let progress = Progress::default();
@@ -113,10 +113,11 @@
     assert!(progress.is_fully_written());
 }
 
-/// A driver whose list names one upstream, and an attempt to make there.
+/// A driver whose list has one upstream, and an attempt to send there.
 fn spec_at(address: SocketAddr) -> (Rc<Driver>, AttemptSpec) {
     let text = CONFIGURATION.replace(r#""tryLimit": 3"#, r#""tryLimit": 3, "dialTimeoutS": 30"#);
-    let driver = Driver::start(Config::parse(&text, |_| None).expect("sound")).expect("starts");
+    let driver =
+        Driver::start(Config::parse(&text, |_| None).expect("a valid configuration")).expect("starts");
     let listed = format!(
         r#"{{"snapshot": true, "endpoints": [
         {{"name": "s-1", "address": "{address}", "status": "ready"}}]}}"#
@@ -141,13 +142,14 @@
     std::future::poll_fn(|context| Poll::Ready(future.as_mut().poll(context))).await
 }
 
-/// Found on zone+brink: connections that came up late passed for congestion and cut the limits. The time of an
-/// attempt counts from when its connection was up; of one that never was, from when it was asked for.
+/// Found on zone+brink: connections that were established late looked like congestion and cut the limits.
+/// The time of an attempt counts from when its connection was open, or, if it never was, from when the
+/// attempt was requested.
 #[test]
 fn the_time_of_an_attempt_excludes_connecting() {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("starts");
     tokio::task::LocalSet::new().block_on(&runtime, async {
-        // Its queue is full, so that the connection is asked for once more after a second.
+        // The accept queue is full, so that the system repeats the connect after a second.
         let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).expect("free");
         socket.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into()).expect("a free port");
         socket.listen(0).expect("bound");
@@ -180,10 +182,11 @@
     });
 }
 
-/// Found on brink seed 61 of an own deployment: an attempt whose upstream began to drain was reported as never run,
-/// though its request went out whole between the word to end it and its next turn. The word may come before the request
-/// is written or after, and its turn as well; only what is never written has never run. What has is answered, unless it
-/// is withdrawn.
+/// Found on brink seed 61 of an own deployment: an attempt whose upstream began to drain was reported as
+/// never executed, although its request was completely written between the cancellation and the task's next
+/// turn. The cancellation may arrive before or after the request is written, and the task may run before or
+/// after. Only a request that is never written was never executed; any other is answered, unless its
+/// outcome is `Withdrawn`.
 #[test]
 fn an_attempt_written_while_it_is_cancelled_may_have_run() {
     #[derive(Debug, PartialEq)]
@@ -209,7 +212,7 @@
             let (cancel, cancelled) = oneshot::channel();
             let mut cancel = Some(cancel);
             let mut attempt = Box::pin(await_result(&driver, &spec, &progress, cancelled));
-            // The request is handed to its connection, which has not had its turn yet.
+            // The request is handed to its connection's task, which has not run yet.
             loop {
                 assert!(poll_once(attempt.as_mut()).await.is_pending());
                 if progress.send_started_at.get().is_some() {
@@ -220,9 +223,11 @@
             for moment in order {
                 assert_eq!(progress.has_begun(), order[0] == Written && *moment == Cancelled, "{case}");
                 match moment {
-                    Cancelled => {
-                        cancel.take().expect("told once").send(cancel_outcome).expect("the attempt is out")
-                    }
+                    Cancelled => cancel
+                        .take()
+                        .expect("cancelled once")
+                        .send(cancel_outcome)
+                        .expect("the attempt is in flight"),
                     Written => {
                         while !progress.is_fully_written() {
                             tokio::task::yield_now().await;
@@ -230,11 +235,11 @@
                     }
                 }
             }
-            let mut upstream = listener.accept().await.expect("it came up").0;
+            let mut upstream = listener.accept().await.expect("established").0;
             let (result, _connection) = match poll_once(attempt.as_mut()).await {
                 Poll::Ready(done) => done,
                 Poll::Pending => {
-                    assert_eq!(outcome, Outcome::Good, "{case}: it goes on");
+                    assert_eq!(outcome, Outcome::Good, "{case}: it continues");
                     let answer = b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\nConnection: close\r\n\r\n";
                     upstream.write_all(answer).await.expect("open");
                     attempt.as_mut().await
@@ -243,7 +248,7 @@
             assert_eq!(result.outcome, outcome, "{case}");
             drop(attempt);
             let mut read = Vec::new();
-            upstream.read_to_end(&mut read).await.expect("closed in order");
+            upstream.read_to_end(&mut read).await.expect("closed without a reset");
             let is_complete = read.starts_with(b"GET /order?k=7f") && read.ends_with(b"\r\n\r\n");
             assert_eq!(is_complete, order.contains(&Written), "{case}");
             assert!(is_complete || read.is_empty(), "{case}");
