--- a/proxy/src/framing.rs
+++ b/proxy/src/framing.rs
@@ -16,7 +16,7 @@
 
 /// The head gives no unambiguous length for its request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
-#[error("the length of the request is ambiguous")]
+#[error("the lengths contradict each other")]
 pub struct AmbiguousLength;
 
 /// Maximum number of bytes kept of what a client sends before it has its answer: the size of a head.
--- a/proxy/src/server.rs
+++ b/proxy/src/server.rs
@@ -471,25 +471,25 @@
     UnknownClass,
     #[error("no such tenant")]
     UnknownTenant,
-    #[error("the deadline is not a number of seconds")]
+    #[error("the deadline is not a time in seconds")]
     InvalidDeadline,
     #[error("no request id")]
     MissingId,
-    #[error("the class does not allow this method")]
+    #[error("the method does not fit the class")]
     WrongMethod,
-    #[error("the class requires an idempotency key")]
+    #[error("the class wants an idempotency key")]
     MissingIdempotencyKey,
     #[error("the body is too large")]
     TooLarge,
-    #[error("the body is incomplete")]
+    #[error("the body broke off")]
     IncompleteBody,
-    #[error("the body was not received in time")]
+    #[error("the body came too slowly")]
     BodyTimeout,
     #[error("{0}")]
     AmbiguousLength(#[from] AmbiguousLength),
-    #[error("the bytes after the body are not a request")]
+    #[error("what follows the body is no request")]
     TrailingGarbage,
-    #[error("a request with this id is in progress")]
+    #[error("a request with this id is open")]
     DuplicateId,
 }
 
