--- a/proxy/src/clock.rs
+++ b/proxy/src/clock.rs
@@ -1,20 +1,20 @@
-//! The clock of the decisions beside the machine's.
+//! Maps instants of the process and Unix times to the clock that the decisions use.
 
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
 use stilelead_decision::interface::Timestamp;
 use tokio::time::Instant;
 
-/// How far the module's clock runs ahead of the program's start: upstreams that started before it have a
-/// time on that clock too. One that started earlier still has been warm for long.
+/// The decision clock reads this much when the program starts, so that upstreams which started before the program
+/// have a time on it as well. An upstream that started even earlier has long been warm.
 const CLOCK_LEAD: Duration = Duration::from_secs(3600);
 
-/// Reads the module's clock and translates times to it.
+/// The clock of the decisions: translates instants and Unix times to it.
 #[derive(Debug, Clone, Copy)]
 pub struct Clock {
-    zero: Instant,
-    /// Unix time in milliseconds at the zero of the module's clock.
-    zero_ms: u64,
+    started_at: Instant,
+    /// Unix time in milliseconds at which the decision clock reads zero.
+    zero_unix_ms: u64,
 }
 
 impl Clock {
@@ -22,24 +22,24 @@
     #[must_use]
     pub fn start() -> Self {
         let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-        Self { zero: Instant::now(), zero_ms: unix.saturating_sub(CLOCK_LEAD).as_millis() as u64 }
+        Self { started_at: Instant::now(), zero_unix_ms: unix.saturating_sub(CLOCK_LEAD).as_millis() as u64 }
     }
 
-    /// The time on it now.
+    /// The current time on the decision clock.
     #[must_use]
     pub fn now(&self) -> Timestamp {
         self.at(Instant::now())
     }
 
-    /// The time on it at an instant; that of its start for earlier ones.
+    /// Translates an instant; one before the start of the clock gives the time of the start.
     #[must_use]
     pub fn at(&self, instant: Instant) -> Timestamp {
-        CLOCK_LEAD + instant.saturating_duration_since(self.zero)
+        CLOCK_LEAD + instant.saturating_duration_since(self.started_at)
     }
 
-    /// The time on it of a Unix time in milliseconds; `None` of one long ago.
+    /// Translates a Unix time in milliseconds; `None` if it lies at or before the clock's zero.
     #[must_use]
-    pub fn of_unix(&self, unix_ms: u64) -> Option<Timestamp> {
-        unix_ms.checked_sub(self.zero_ms).filter(|&since| since > 0).map(Duration::from_millis)
+    pub fn from_unix_ms(&self, unix_ms: u64) -> Option<Timestamp> {
+        unix_ms.checked_sub(self.zero_unix_ms).filter(|&since_zero| since_zero > 0).map(Duration::from_millis)
     }
 }
--- a/proxy/src/config.rs
+++ b/proxy/src/config.rs
@@ -1,4 +1,4 @@
-//! What a balancer is told at its start: the configuration file and the environment.
+//! The configuration of a balancer: the file and the environment variables that override it.
 
 use std::env;
 use std::fs::File;
@@ -19,42 +19,45 @@
 pub enum ConfigError {
     /// `PROXY_CONFIG` is not set.
     #[error("PROXY_CONFIG is not set: it names the configuration file")]
-    NoPath,
+    PathNotSet,
     /// The file cannot be read.
     #[error("cannot read the configuration {path}: {cause}")]
     Read {
-        /// The file.
+        /// The path of the file.
         path: PathBuf,
-        /// Why.
+        /// The error of the operating system, or of text that is not UTF-8.
         cause: std::io::Error,
     },
-    /// The file is larger than any configuration.
-    #[error("the configuration {path} is larger than {FILE_MOST} bytes")]
+    /// The file is larger than the limit.
+    #[error("the configuration {path} is larger than {MAX_FILE_BYTES} bytes")]
     TooLarge {
-        /// The file.
+        /// The path of the file.
         path: PathBuf,
     },
-    /// The file is not the JSON that is expected.
+    /// The file is not JSON, or lacks a field, or a field has the wrong type.
     #[error("the configuration is malformed: {0}")]
     Json(#[from] serde_json::Error),
-    /// The settings in it cannot be used.
+    /// The settings object cannot be read.
     #[error("the settings are malformed: {0}")]
     Setup(#[from] SetupError),
-    /// They can be read, but not decided by.
-    #[error("the settings make no sense: {0}")]
+    /// The settings can be read, but the decisions do not accept them.
+    #[error("the settings are invalid: {0}")]
     Settings(#[from] SettingsError),
-    /// A value makes no sense.
-    #[error("{name} makes no sense: {value:?}")]
-    Value {
-        /// Where it stands.
+    /// A value outside the settings object is not accepted.
+    #[error("{name} is invalid: {value:?}; expected {expected}")]
+    InvalidValue {
+        /// The key in the file.
         name: &'static str,
-        /// What stands there.
+        /// The value that was given.
         value: String,
+        /// What is accepted.
+        expected: String,
     },
 }
 
+/// The configuration file as written.
 #[derive(Deserialize)]
-struct Text {
+struct ConfigFile {
     #[serde(default)]
     name: String,
     listen: Option<String>,
@@ -82,67 +85,70 @@
 /// The configuration of one balancer.
 #[derive(Debug)]
 pub struct Config {
-    /// Its name.
+    /// The name of this balancer instance.
     pub name: String,
-    /// Where clients connect.
+    /// The address that clients connect to.
     pub listen: SocketAddr,
-    /// Where discovery listens.
+    /// The address of discovery.
     pub discovery: SocketAddr,
-    /// Seeds the random choices.
+    /// The seed of the random choices.
     pub seed: u64,
-    /// Descriptors that the process may hold.
+    /// The number of file descriptors that the process may have open.
     pub sockets: usize,
-    /// The upstreams as last known, maybe old.
+    /// The list of upstreams to start with, which may be out of date.
     pub known: Option<Update>,
-    /// The settings object.
+    /// The settings object after reading.
     pub loaded: Loaded,
 }
 
 impl Config {
-    /// Reads the file that `PROXY_CONFIG` names; `PROXY_NAME`, `PROXY_LISTEN` and `PROXY_DISCOVERY` go
-    /// before what the file says.
+    /// Reads the file that `PROXY_CONFIG` names; `PROXY_NAME`, `PROXY_LISTEN` and `PROXY_DISCOVERY` take
+    /// precedence over the file.
     ///
     /// # Errors
-    /// The file is missing or makes no sense.
+    /// The file is missing or invalid.
     pub fn from_environment() -> Result<Self, ConfigError> {
-        Self::parse(&text()?, |name| env::var(name).ok())
+        Self::parse(&read_file()?, |name| env::var(name).ok())
     }
 
-    /// Reads the file anew after it was replaced. Where discovery is, the new file says: the environment is that of
-    /// the start.
+    /// Reads the file again after it was replaced. Here the discovery address in the file takes precedence over
+    /// `PROXY_DISCOVERY`, because the environment is still that of the program's start.
     ///
     /// # Errors
-    /// The file is missing or makes no sense.
-    pub fn replaced() -> Result<Self, ConfigError> {
-        let text = text()?;
-        let named = serde_json::from_str::<Text>(&text)?.discovery;
+    /// The file is missing or invalid.
+    pub fn reread() -> Result<Self, ConfigError> {
+        let text = read_file()?;
+        let file_discovery = serde_json::from_str::<ConfigFile>(&text)?.discovery;
         Self::parse(&text, |name| match name {
-            "PROXY_DISCOVERY" => named.clone().or_else(|| env::var(name).ok()),
+            "PROXY_DISCOVERY" => file_discovery.clone().or_else(|| env::var(name).ok()),
             _ => env::var(name).ok(),
         })
     }
 
-    /// Reads a configuration from its text, with `variable` in place of the environment.
+    /// Parses the text of a configuration; `variable` looks up environment variables.
     ///
     /// # Errors
-    /// The text makes no sense.
+    /// The text is not a valid configuration.
     pub fn parse(text: &str, variable: impl Fn(&str) -> Option<String>) -> Result<Self, ConfigError> {
-        let file: Text = serde_json::from_str(text)?;
+        let file: ConfigFile = serde_json::from_str(text)?;
         let loaded = setup::read(file.settings.get())?;
         loaded.settings.validate()?;
         let listen = variable("PROXY_LISTEN").or(file.listen);
         let discovery = variable("PROXY_DISCOVERY").or(file.discovery);
-        if file.limits.sockets < LEAST_SOCKETS {
-            return Err(wrong("limits.sockets", &file.limits.sockets.to_string()));
+        if file.limits.sockets < MIN_SOCKETS {
+            let expected = format!("at least {MIN_SOCKETS}");
+            return Err(invalid_value("limits.sockets", &file.limits.sockets.to_string(), expected));
         }
         Ok(Self {
             name: variable("PROXY_NAME").unwrap_or(file.name),
-            listen: address("listen", listen)?,
-            discovery: address("discovery", discovery)?,
+            listen: parse_address("listen", listen)?,
+            discovery: parse_address("discovery", discovery)?,
             seed: if file.seed.is_empty() {
                 0
             } else {
-                u64::from_str_radix(&file.seed, 16).map_err(|_| wrong("seed", &file.seed))?
+                u64::from_str_radix(&file.seed, 16).map_err(|_| {
+                    invalid_value("seed", &file.seed, "a hexadecimal number of at most 64 bits".to_owned())
+                })?
             },
             sockets: file.limits.sockets,
             known: file.known,
@@ -151,29 +157,29 @@
     }
 }
 
-/// Bytes of the file at most, the list of upstreams included: as many as a word of discovery's may have.
-const FILE_MOST: u64 = 8 << 20;
-/// Fewer descriptors than this leave no room to serve anybody.
-const LEAST_SOCKETS: usize = 48;
+/// The largest file accepted. It includes the list of upstreams, so that the limit is that of a discovery message.
+const MAX_FILE_BYTES: u64 = 8 << 20;
+/// With fewer file descriptors than this there would be none left for clients.
+const MIN_SOCKETS: usize = 48;
 
-fn text() -> Result<String, ConfigError> {
-    let path = PathBuf::from(env::var_os("PROXY_CONFIG").ok_or(ConfigError::NoPath)?);
+fn read_file() -> Result<String, ConfigError> {
+    let path = PathBuf::from(env::var_os("PROXY_CONFIG").ok_or(ConfigError::PathNotSet)?);
     let mut text = String::new();
-    let read = File::open(&path).and_then(|file| file.take(FILE_MOST + 1).read_to_string(&mut text));
-    match read {
-        Ok(length) if length as u64 > FILE_MOST => Err(ConfigError::TooLarge { path }),
+    let result = File::open(&path).and_then(|file| file.take(MAX_FILE_BYTES + 1).read_to_string(&mut text));
+    match result {
+        Ok(size) if size as u64 > MAX_FILE_BYTES => Err(ConfigError::TooLarge { path }),
         Ok(_) => Ok(text),
         Err(cause) => Err(ConfigError::Read { path, cause }),
     }
 }
 
-fn address(name: &'static str, value: Option<String>) -> Result<SocketAddr, ConfigError> {
+fn parse_address(name: &'static str, value: Option<String>) -> Result<SocketAddr, ConfigError> {
     let value = value.unwrap_or_default();
-    value.parse().map_err(|_| wrong(name, &value))
+    value.parse().map_err(|_| invalid_value(name, &value, "an IP address and port".to_owned()))
 }
 
-fn wrong(name: &'static str, value: &str) -> ConfigError {
-    ConfigError::Value { name, value: value.to_owned() }
+fn invalid_value(name: &'static str, value: &str, expected: String) -> ConfigError {
+    ConfigError::InvalidValue { name, value: value.to_owned(), expected }
 }
 
 #[cfg(test)]
--- a/proxy/src/directory.rs
+++ b/proxy/src/directory.rs
@@ -1,4 +1,4 @@
-//! The list in hand: which upstreams there are, where they listen and whether they take work.
+//! The current list of upstreams: their names, ids, addresses and whether they accept new requests.
 
 use std::net::SocketAddr;
 
@@ -9,98 +9,100 @@
 use crate::clock::Clock;
 use crate::discovery::{Endpoint, Update};
 
-/// Where an update of the list comes from.
+/// The source of an update of the list.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Origin {
-    /// The configuration, which may be old.
+    /// The list in the configuration, which may be out of date.
     Configuration,
-    /// A watch.
+    /// The current watch on discovery.
     Watch,
-    /// A watch that another one is to take the place of.
+    /// A watch that stays open only until its replacement has delivered an update.
     FormerWatch,
 }
 
-/// What an update of the list comes to.
+/// The result of applying an update to the list.
 #[derive(Debug)]
 pub struct Change {
-    /// The word for the decisions.
+    /// The update as the decisions read it.
     pub list: DiscoveryUpdate,
-    /// Upstreams whose process is a new one; the old one took its connections along.
+    /// Upstreams whose process was restarted: connections to the old process are dead.
     pub restarted: Vec<UpstreamId>,
 }
 
 #[derive(Debug)]
-struct Listed {
+struct ListEntry {
     address: SocketAddr,
+    /// Unix time of the latest start in milliseconds, as discovery gives it.
     since_ms: u64,
     ready: bool,
 }
 
-/// The upstreams as last told.
+/// The upstreams of the latest list.
 #[derive(Debug)]
 pub struct Directory {
     clock: Clock,
-    /// The numbers of the upstreams listed. Names are ever new, so those of others are forgotten.
+    /// The ids of the listed upstreams by name. Replaced upstreams bring new names all the time, so the names of
+    /// unlisted upstreams are dropped.
     ids: FxHashMap<Box<str>, UpstreamId>,
-    listed: FxHashMap<UpstreamId, Listed>,
+    entries: FxHashMap<UpstreamId, ListEntry>,
 }
 
 impl Directory {
-    /// An empty list; times of starts are told on `clock`.
+    /// An empty list; start times of upstreams are translated by `clock`.
     #[must_use]
     pub fn new(clock: Clock) -> Self {
-        Self { clock, ids: FxHashMap::default(), listed: FxHashMap::default() }
+        Self { clock, ids: FxHashMap::default(), entries: FxHashMap::default() }
     }
 
-    /// Whether it names an upstream that requests can go to.
+    /// Whether any listed upstream accepts requests.
     #[must_use]
     pub fn can_serve(&self) -> bool {
-        self.listed.values().any(|listed| listed.ready)
+        self.entries.values().any(|entry| entry.ready)
     }
 
-    /// The number of an upstream that is listed.
+    /// The id of a listed upstream by name.
     #[must_use]
-    pub fn number(&self, name: &str) -> Option<UpstreamId> {
+    pub fn id_of(&self, name: &str) -> Option<UpstreamId> {
         self.ids.get(name).copied()
     }
 
-    /// The name of an upstream that is listed, found by search: for the log.
+    /// The name of a listed upstream. Searches all names, so it is meant for log lines only.
     #[must_use]
     pub fn name(&self, upstream: UpstreamId) -> Option<&str> {
         self.ids.iter().find(|&(_, &id)| id == upstream).map(|(name, _)| &**name)
     }
 
-    /// How many of the upstreams listed take requests, and how many do not.
+    /// The number of listed upstreams that accept requests, and of those that do not.
     #[must_use]
     pub fn counts(&self) -> (usize, usize) {
-        let ready = self.listed.values().filter(|listed| listed.ready).count();
-        (ready, self.listed.len() - ready)
+        let ready = self.entries.values().filter(|entry| entry.ready).count();
+        (ready, self.entries.len() - ready)
     }
 
     /// Whether an upstream is listed, ready or not.
     #[must_use]
-    pub fn lists(&self, upstream: UpstreamId) -> bool {
-        self.listed.contains_key(&upstream)
+    pub fn contains(&self, upstream: UpstreamId) -> bool {
+        self.entries.contains_key(&upstream)
     }
 
-    /// Where new work for an upstream goes; `None` if discovery's last word allows none.
+    /// The address for new requests to an upstream; `None` unless the latest list has it as ready.
     #[must_use]
     pub fn ready_address(&self, upstream: UpstreamId) -> Option<SocketAddr> {
-        self.listed.get(&upstream).filter(|listed| listed.ready).map(|listed| listed.address)
+        self.entries.get(&upstream).filter(|entry| entry.ready).map(|entry| entry.address)
     }
 
-    /// Takes in an update; `names` are those of the settings in force. Entries that make no sense are passed over.
-    pub fn take(&mut self, update: &Update, origin: Origin, names: &Names) -> Change {
-        let mut seen = FxHashSet::default();
+    /// Applies an update; `names` are those of the settings in force. Malformed entries are skipped.
+    pub fn apply(&mut self, update: &Update, origin: Origin, names: &Names) -> Change {
+        let mut updated_ids = FxHashSet::default();
         let mut members = Vec::with_capacity(update.endpoints.len());
         let mut restarted = Vec::new();
         for endpoint in &update.endpoints {
-            match self.member(endpoint, names, &mut restarted) {
+            match self.apply_entry(endpoint, names, &mut restarted) {
                 Some(member) => {
-                    seen.insert(member.id);
+                    updated_ids.insert(member.id);
                     members.push(member);
                 }
-                None => tracing::warn!(?endpoint, "passed over a malformed entry of the list"),
+                None => tracing::warn!(?endpoint, "skipped a malformed entry of the list"),
             }
         }
         let list = match origin {
@@ -109,14 +111,14 @@
             Origin::Watch | Origin::FormerWatch => DiscoveryUpdate::Incremental(members),
         };
         if !matches!(list, DiscoveryUpdate::Incremental(_)) {
-            self.listed.retain(|id, _| seen.contains(id));
+            self.entries.retain(|id, _| updated_ids.contains(id));
         }
-        let listed = &self.listed;
-        self.ids.retain(|_, id| listed.contains_key(id));
+        let entries = &self.entries;
+        self.ids.retain(|_, id| entries.contains_key(id));
         Change { list, restarted }
     }
 
-    fn member(
+    fn apply_entry(
         &mut self,
         endpoint: &Endpoint,
         names: &Names,
@@ -128,16 +130,17 @@
             "gone" => Phase::Gone,
             _ => return None,
         };
-        let id = self.id(&endpoint.name);
+        let id = self.find_or_assign_id(&endpoint.name);
         if phase == Phase::Gone {
-            self.listed.remove(&id);
+            self.entries.remove(&id);
         } else {
-            // A drain holds, whatever has become of the address.
-            let known = self.listed.get(&id).filter(|_| phase == Phase::Draining).map(|known| known.address);
-            let address = endpoint.address.parse().ok().or(known)?;
-            let listed = Listed { address, since_ms: endpoint.since_ms, ready: phase == Phase::Ready };
-            let before = self.listed.insert(id, listed);
-            if before.is_some_and(|before| before.since_ms != endpoint.since_ms) {
+            // A drain applies even if its entry has no readable address: the previous address is kept.
+            let previous_address =
+                self.entries.get(&id).filter(|_| phase == Phase::Draining).map(|entry| entry.address);
+            let address = endpoint.address.parse().ok().or(previous_address)?;
+            let entry = ListEntry { address, since_ms: endpoint.since_ms, ready: phase == Phase::Ready };
+            let previous = self.entries.insert(id, entry);
+            if previous.is_some_and(|previous| previous.since_ms != endpoint.since_ms) {
                 restarted.push(id);
             }
         }
@@ -149,23 +152,23 @@
             cell: endpoint.group,
             phase,
             weight: if weight.is_finite() && weight >= 0.0 { weight } else { 1.0 },
-            started_at: self.clock.of_unix(endpoint.since_ms),
+            started_at: self.clock.from_unix_ms(endpoint.since_ms),
         })
     }
 
-    /// The number of an upstream: from its name alone, so that all balancers sort them alike and a name that
-    /// comes back finds its number. Should two names meet, the later one takes the next free number.
-    fn id(&mut self, name: &str) -> UpstreamId {
+    /// The id of an upstream: an FNV-1a hash of its name, so that all balancers order the upstreams alike and a
+    /// name that is listed again gets the same id. If two names collide, the later one takes the next free id.
+    fn find_or_assign_id(&mut self, name: &str) -> UpstreamId {
         if let Some(&id) = self.ids.get(name) {
             return id;
         }
-        let fnv = |hash: u32, byte: &u8| (hash ^ u32::from(*byte)).wrapping_mul(16_777_619);
-        let mut number = name.as_bytes().iter().fold(2_166_136_261, fnv);
-        while self.listed.contains_key(&UpstreamId(number)) {
-            number = number.wrapping_add(1);
+        let fnv_1a = |hash: u32, byte: &u8| (hash ^ u32::from(*byte)).wrapping_mul(16_777_619);
+        let mut id = name.as_bytes().iter().fold(2_166_136_261, fnv_1a);
+        while self.entries.contains_key(&UpstreamId(id)) {
+            id = id.wrapping_add(1);
         }
-        self.ids.insert(name.into(), UpstreamId(number));
-        UpstreamId(number)
+        self.ids.insert(name.into(), UpstreamId(id));
+        UpstreamId(id)
     }
 }
 
--- a/proxy/src/discovery.rs
+++ b/proxy/src/discovery.rs
@@ -1,4 +1,4 @@
-//! The list of upstreams: its form and the watch on its changes.
+//! The client of discovery: the format of list updates, and the watch (one long HTTP response) that delivers them.
 
 use std::io;
 use std::net::SocketAddr;
@@ -16,109 +16,112 @@
 use crate::permit::Permit;
 use crate::upstream::{self, ConnectError, ConnectTarget};
 
-/// A word from discovery: the whole list or what changed.
+/// A message from discovery: the full list of upstreams, or the entries that changed.
 #[derive(Debug, Clone, Deserialize, Serialize)]
 pub struct Update {
-    /// The list's version.
+    /// The version of the list after this update.
     #[serde(default)]
     pub index: u64,
-    /// The whole list: what is absent has been removed.
+    /// Whether this is the full list, so that upstreams missing from it have been removed.
     #[serde(default)]
     pub snapshot: bool,
-    /// The upstreams.
-    #[serde(default, deserialize_with = "entries")]
+    /// The listed or changed upstreams.
+    #[serde(default, deserialize_with = "deserialize_endpoints")]
     pub endpoints: Vec<Endpoint>,
 }
 
-/// Reads each entry by itself: one that makes no sense must not cost the others, a drain among them.
-fn entries<'de, D: Deserializer<'de>>(input: D) -> Result<Vec<Endpoint>, D::Error> {
+/// Parses each entry separately and skips malformed ones, so that one of them does not cost the others, which may
+/// include a drain.
+fn deserialize_endpoints<'de, D: Deserializer<'de>>(input: D) -> Result<Vec<Endpoint>, D::Error> {
     let raw: Vec<Box<RawValue>> = Vec::deserialize(input)?;
-    let read = |raw: &RawValue| {
+    let parse_entry = |raw: &RawValue| {
         serde_json::from_str(raw.get())
             .inspect_err(|error| {
-                tracing::warn!(%error, "passed over an entry of the list that cannot be read");
+                tracing::warn!(%error, "skipped an entry of the list that cannot be parsed");
             })
             .ok()
     };
-    Ok(raw.iter().filter_map(|raw| read(raw)).collect())
+    Ok(raw.iter().filter_map(|raw| parse_entry(raw)).collect())
 }
 
 /// An upstream as discovery lists it.
 #[derive(Debug, Clone, Deserialize, Serialize)]
 pub struct Endpoint {
-    /// Its name, the same at every balancer.
+    /// Its name, which every balancer gets alike.
     pub name: String,
-    /// Where it listens.
+    /// The IP address and port that it listens on.
     #[serde(default)]
     pub address: String,
-    /// Its zone.
+    /// The name of its zone.
     #[serde(default)]
     pub zone: String,
-    /// Its kind of machine.
+    /// The name of its machine type.
     #[serde(default, rename = "type")]
     pub kind: String,
-    /// Its cell.
+    /// The number of its cell.
     #[serde(default)]
     pub group: u32,
     /// `ready`, `draining` or `gone`.
     pub status: String,
-    /// Its size beside the others.
-    #[serde(default = "one")]
+    /// Its capacity relative to the others.
+    #[serde(default = "default_weight")]
     pub weight: f64,
-    /// Its latest start, Unix time in milliseconds; 0 for long ago.
+    /// The Unix time of its latest start in milliseconds; 0 means long ago.
     #[serde(default)]
     pub since_ms: u64,
 }
 
-fn one() -> f64 {
+fn default_weight() -> f64 {
     1.0
 }
 
-/// How long the first word may take from when the watch is asked for: discovery works through calls in turn.
-const FIRST_WORD: Duration = Duration::from_secs(5);
-/// A watch says something every 2 s; with no whole word for well over that, it is dead. What it would have told
-/// counts as told 6 s late at most, and by then a new watch must have been asked for and answered, which takes
-/// seconds.
-const SILENCE: Duration = Duration::from_millis(3200);
-/// Bytes of one word at most, so that a broken discovery cannot fill the memory.
-const WORD_MOST: usize = 8 << 20;
+/// The longest time from requesting a watch to its first message: discovery answers calls one after another, so that a
+/// call may have to queue.
+const FIRST_MESSAGE_TIMEOUT: Duration = Duration::from_secs(5);
+/// The longest time between two complete messages. A watch sends one every 2 s, so that one silent for well over that
+/// is dead. A change in discovery counts as delivered at most 6 s after it was made; by then a new watch must have been
+/// requested and answered, which takes seconds.
+const SILENCE_TIMEOUT: Duration = Duration::from_millis(3200);
+/// The largest message accepted, so that a faulty discovery cannot fill the memory.
+const MAX_MESSAGE_BYTES: usize = 8 << 20;
 
 /// Why a watch ended.
 #[derive(Debug, Error)]
 pub enum WatchError {
-    /// Nobody listens there.
-    #[error("nobody listens")]
+    /// The connection was refused: nothing listens on the address.
+    #[error("nothing listens on the address")]
     Unreachable,
-    /// No connection came up.
-    #[error("no connection: {0}")]
+    /// The connection could not be established for another reason.
+    #[error("cannot connect: {0}")]
     Connect(ConnectError),
-    /// No whole word came in time.
-    #[error("silent for too long")]
+    /// No complete message arrived in time.
+    #[error("no message within the time limit")]
     Silent {
-        /// How long ago the latest word came, if any did.
-        heard: Option<Duration>,
+        /// The time since the latest message, if there was one.
+        since_last_message: Option<Duration>,
     },
-    /// Discovery answered with another status than 200.
-    #[error("answered {0}")]
+    /// Discovery answered with a status other than 200.
+    #[error("discovery answered with status {0}")]
     Status(StatusCode),
-    /// The connection broke.
+    /// The connection failed.
     #[error("{0}")]
     Http(#[from] hyper::Error),
-    /// Discovery ended it in order.
-    #[error("ended")]
+    /// Discovery ended the response normally.
+    #[error("discovery ended the watch")]
     Ended,
-    /// A word is longer than any list is.
-    #[error("a word is too long")]
-    LongWord,
-    /// A word is no update.
-    #[error("a word is malformed: {0}")]
+    /// A message is longer than the limit.
+    #[error("a message is longer than {MAX_MESSAGE_BYTES} bytes")]
+    MessageTooLong,
+    /// A message is not a valid update.
+    #[error("a message is malformed: {0}")]
     Json(#[from] serde_json::Error),
 }
 
 impl From<ConnectError> for WatchError {
     fn from(error: ConnectError) -> Self {
         match error {
-            // Only this says that nobody is there; what else may fail is on the way, or our own.
+            // Only a refused connection shows that discovery is down; other errors may come from the network between
+            // or from this process.
             ConnectError::Failed(error) if error.kind() == io::ErrorKind::ConnectionRefused => {
                 Self::Unreachable
             }
@@ -128,7 +131,7 @@
 }
 
 impl WatchError {
-    /// The kind of end, for the metrics.
+    /// The reason as a metrics label.
     #[must_use]
     pub fn kind(&self) -> WatchEnd {
         match self {
@@ -137,128 +140,135 @@
             Self::Silent { .. } => WatchEnd::Silent,
             Self::Status(_) => WatchEnd::Status,
             Self::Http(_) | Self::Ended => WatchEnd::Broken,
-            Self::LongWord | Self::Json(_) => WatchEnd::Malformed,
+            Self::MessageTooLong | Self::Json(_) => WatchEnd::Malformed,
         }
     }
 }
 
-/// Names a watch; each of a copy has a higher number than those before it.
+/// Identifies a watch of one balancer instance; each new watch gets a higher number.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct WatchNumber(pub u64);
 
-/// What a watch asks for.
+/// The parameters of a watch.
 #[derive(Debug, Clone, Copy)]
 pub struct WatchRequest {
-    /// Where discovery listens.
+    /// The address of discovery.
     pub address: SocketAddr,
-    /// The version of the list in hand, 0 for none.
+    /// The version of the current list; 0 requests the full list.
     pub since: u64,
-    /// The watch.
+    /// The number of the new watch.
     pub number: WatchNumber,
 }
 
-/// The copy that a watch reports to.
+/// The receiver of a watch's updates: the balancer instance that opened it.
 pub trait WatchEvents {
-    /// The watch has told this.
+    /// The watch has delivered an update.
     fn updated(&self, watch: WatchNumber, update: Update);
     /// The watch has ended.
-    fn broke(&self, watch: WatchNumber, reason: &WatchError);
-    /// A descriptor for the watch, which is had in any case: without it drains would be missed.
+    fn ended(&self, watch: WatchNumber, reason: &WatchError);
+    /// Counts a descriptor for the watch, even over the limit: without a watch drains would be missed.
     fn reserve_descriptor(&self) -> Permit;
 }
 
-/// Watches the list until the watch ends, then reports that.
+/// Opens a watch and reports its updates until it ends, then reports the reason.
 pub async fn watch(events: impl WatchEvents, request: WatchRequest) {
-    let Err(error) = follow(&events, request).await;
-    events.broke(request.number, &error);
+    let Err(error) = run_watch(&events, request).await;
+    events.ended(request.number, &error);
 }
 
-async fn follow(
+async fn run_watch(
     events: &impl WatchEvents,
     request: WatchRequest,
 ) -> Result<std::convert::Infallible, WatchError> {
     let WatchRequest { address, since, number } = request;
-    let asked = Instant::now();
+    let requested_at = Instant::now();
     tracing::info!(watch = number.0, %address, since, "asks discovery for a watch");
-    let mut silent_at = asked + FIRST_WORD;
-    let dial = ConnectTarget { address, timeout: FIRST_WORD };
-    let mut conn = upstream::connect(events.reserve_descriptor(), dial).await?;
+    let mut deadline = requested_at + FIRST_MESSAGE_TIMEOUT;
+    let target = ConnectTarget { address, timeout: FIRST_MESSAGE_TIMEOUT };
+    let mut conn = upstream::connect(events.reserve_descriptor(), target).await?;
     let request = Request::get(format!("/catalog/members?follow=1&since={since}"))
         .header(header::HOST, address.to_string())
         .body(Full::<Bytes>::default())
         .unwrap_or_default();
-    let response = timeout_at(silent_at, conn.sender.send_request(request))
+    let response = timeout_at(deadline, conn.sender.send_request(request))
         .await
-        .map_err(|_| WatchError::Silent { heard: None })??;
-    let (status, after_ms) = (response.status(), asked.elapsed().as_millis());
+        .map_err(|_| WatchError::Silent { since_last_message: None })??;
+    let (status, after_ms) = (response.status(), requested_at.elapsed().as_millis());
     tracing::info!(watch = number.0, status = status.as_u16(), after_ms, "discovery answers");
     if response.status() != StatusCode::OK {
         return Err(WatchError::Status(response.status()));
     }
     let mut body = response.into_body();
-    let mut words = Words::default();
-    let mut heard_at: Option<Instant> = None;
+    let mut splitter = MessageSplitter::default();
+    let mut last_message_at: Option<Instant> = None;
     loop {
-        // Bytes alone are no word: ones that keep coming and come to no end must not pass for a watch.
-        let frame = timeout_at(silent_at, body.frame())
+        // Only complete messages extend the deadline: bytes that keep arriving without completing a message must not
+        // keep a dead watch alive.
+        let frame = timeout_at(deadline, body.frame())
             .await
-            .map_err(|_| WatchError::Silent { heard: heard_at.map(|at| at.elapsed()) })?;
+            .map_err(|_| WatchError::Silent { since_last_message: last_message_at.map(|at| at.elapsed()) })?;
         let Ok(data) = frame.ok_or(WatchError::Ended)??.into_data() else { continue };
-        words.text.extend_from_slice(&data);
-        let mut spoke = false;
-        while let Some(word) = words.next() {
-            events.updated(number, serde_json::from_slice(&word)?);
-            spoke = true;
+        splitter.buffer.extend_from_slice(&data);
+        let mut got_message = false;
+        while let Some(message) = splitter.next_message() {
+            events.updated(number, serde_json::from_slice(&message)?);
+            got_message = true;
         }
-        // An empty line is a word as well, but not one within another.
-        if spoke || (words.text.is_empty() && data.contains(&b'\n')) {
-            if heard_at.is_none() && !spoke {
-                // Nothing has changed since; the watch stands all the same.
+        // An empty line is a heartbeat and counts as a message, unless it is inside an incomplete one.
+        if got_message || (splitter.buffer.is_empty() && data.contains(&b'\n')) {
+            if last_message_at.is_none() && !got_message {
+                // The list has not changed since the requested version; an empty update reports that the watch works.
                 events.updated(number, Update { index: since, snapshot: false, endpoints: Vec::new() });
             }
             let now = Instant::now();
-            heard_at = Some(now);
-            silent_at = now + SILENCE;
+            last_message_at = Some(now);
+            deadline = now + SILENCE_TIMEOUT;
         }
-        if words.text.len() > WORD_MOST {
-            return Err(WatchError::LongWord);
+        if splitter.buffer.len() > MAX_MESSAGE_BYTES {
+            return Err(WatchError::MessageTooLong);
         }
     }
 }
 
-/// Cuts what a watch says into words. A chunk may hold several words, or a part of one, and a word several lines;
-/// where a word ends only its brackets tell, as a parser that is given a part finds fault with some of them.
+/// Splits the body of a watch into JSON messages. A chunk may hold several messages or a part of one, and a message may
+/// span several lines. Its end is found by counting brackets, because a JSON parser reports some truncated messages as
+/// malformed rather than incomplete.
 #[derive(Default)]
-struct Words {
-    /// What has come and is no whole word yet.
-    text: Vec<u8>,
-    scanned: usize,
-    depth: usize,
-    quoted: bool,
+struct MessageSplitter {
+    /// The bytes received that do not form a complete message yet.
+    buffer: Vec<u8>,
+    /// The length of the part of `buffer` that has been scanned.
+    scanned_len: usize,
+    /// The number of open brackets at that point.
+    bracket_depth: usize,
+    /// Whether that point is inside a string.
+    in_string: bool,
+    /// Whether the byte before that point is a backslash that escapes the next one.
     escaped: bool,
 }
 
-impl Words {
-    /// The next whole word. Outside objects any byte but a space is one, which does not parse.
-    fn next(&mut self) -> Option<Vec<u8>> {
-        while let Some(&byte) = self.text.get(self.scanned) {
-            self.scanned += 1;
+impl MessageSplitter {
+    /// The next complete message. Outside brackets and strings, any byte that is not white space is returned as a
+    /// message of its own, which then fails to parse.
+    fn next_message(&mut self) -> Option<Vec<u8>> {
+        while let Some(&byte) = self.buffer.get(self.scanned_len) {
+            self.scanned_len += 1;
             match byte {
                 _ if self.escaped => self.escaped = false,
-                b'\\' if self.quoted => self.escaped = true,
-                b'"' => self.quoted = !self.quoted,
-                _ if self.quoted => {}
-                b'{' | b'[' => self.depth += 1,
-                b'}' | b']' => self.depth = self.depth.saturating_sub(1),
+                b'\\' if self.in_string => self.escaped = true,
+                b'"' => self.in_string = !self.in_string,
+                _ if self.in_string => {}
+                b'{' | b'[' => self.bracket_depth += 1,
+                b'}' | b']' => self.bracket_depth = self.bracket_depth.saturating_sub(1),
                 _ => {}
             }
-            if self.depth == 0 && !self.quoted && !byte.is_ascii_whitespace() {
-                return Some(self.text.drain(..std::mem::take(&mut self.scanned)).collect());
+            if self.bracket_depth == 0 && !self.in_string && !byte.is_ascii_whitespace() {
+                return Some(self.buffer.drain(..std::mem::take(&mut self.scanned_len)).collect());
             }
         }
-        if self.depth == 0 && !self.quoted {
-            self.text.clear();
-            self.scanned = 0;
+        if self.bracket_depth == 0 && !self.in_string {
+            self.buffer.clear();
+            self.scanned_len = 0;
         }
         None
     }
--- a/proxy/src/driver.rs
+++ b/proxy/src/driver.rs
@@ -200,13 +200,13 @@
     /// It cannot replace the one in force while the program runs.
     pub fn reconfigure(self: &Rc<Self>, config: Config) -> Result<Changes, ReloadError> {
         let old = self.in_force();
-        let (new, changes) = old.succeeded_by(config, self.open_sockets.get() + RESERVED_DESCRIPTORS)?;
+        let (new, changes) = old.replaced_by(config, self.open_sockets.get() + RESERVED_DESCRIPTORS)?;
         let (discovery, settings) = (new.discovery(), new.settings());
         self.in_force.replace(Rc::new(new));
         if settings != old.settings() {
             self.handle(Event::SettingsChanged(Box::new(settings)));
         }
-        self.restart_watch(discovery, changes.renames_members());
+        self.restart_watch(discovery, changes.needs_full_list());
         self.reconfigured.notify_one();
         Ok(changes)
     }
@@ -423,9 +423,9 @@
         let address_changed = {
             let mut core = self.core.borrow_mut();
             if full_list {
-                core.subscription.start_over();
+                core.subscription.request_full_list();
             }
-            core.subscription.move_to(address)
+            core.subscription.set_address(address)
         };
         if address_changed || full_list {
             self.handle(Event::DiscoveryMoved);
@@ -437,7 +437,7 @@
         let list = {
             let mut core = self.core.borrow_mut();
             let Core { directory, idle_connections, .. } = &mut *core;
-            let change = directory.take(update, origin, self.in_force.borrow().names());
+            let change = directory.apply(update, origin, self.in_force.borrow().names());
             for upstream in change.restarted {
                 idle_connections.remove(&upstream);
             }
@@ -616,19 +616,19 @@
 
 impl WatchEvents for Rc<Driver> {
     fn updated(&self, watch: WatchNumber, update: Update) {
-        let current = self.core.borrow_mut().subscription.heard(watch, update.index);
+        let current = self.core.borrow_mut().subscription.record_update(watch, update.index);
         self.apply_list(&update, if current { Origin::Watch } else { Origin::FormerWatch });
     }
 
-    fn broke(&self, watch: WatchNumber, reason: &WatchError) {
-        if !self.core.borrow_mut().subscription.broke(watch) {
+    fn ended(&self, watch: WatchNumber, reason: &WatchError) {
+        if !self.core.borrow_mut().subscription.record_end(watch) {
             return;
         }
         self.metrics.watch_ended(reason.kind());
         tracing::warn!(watch = watch.0, "watch on discovery ended: {reason}");
         self.handle(Event::Discovery(match reason {
             WatchError::Unreachable => DiscoveryUpdate::Unreachable,
-            WatchError::Silent { heard: Some(silence) } => DiscoveryUpdate::TimedOut(*silence),
+            WatchError::Silent { since_last_message: Some(silence) } => DiscoveryUpdate::TimedOut(*silence),
             _ => DiscoveryUpdate::Failed,
         }));
     }
--- a/proxy/src/driver/tests.rs
+++ b/proxy/src/driver/tests.rs
@@ -10,7 +10,7 @@
 impl Driver {
     /// The id of a listed upstream.
     pub(crate) fn number_of(&self, name: &str) -> UpstreamId {
-        self.core.borrow().directory.number(name).expect("listed")
+        self.core.borrow().directory.id_of(name).expect("listed")
     }
 
     /// Applies an update as if it came from the watch with this number.
--- a/proxy/src/in_force.rs
+++ b/proxy/src/in_force.rs
@@ -1,4 +1,4 @@
-//! The configuration in force, and the one that takes its place while the program runs.
+//! The configuration in force, and its replacement by a new one while the program runs.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -9,31 +9,33 @@
 use stilelead_simulator::setup::Names;
 
 use crate::config::Config;
-use crate::reload::{Changes, NameList, Part, ReloadError};
+use crate::reload::{Changes, Difference, NameList, ReloadError};
 
-/// Part of the settings' idle limit after which a kept connection is closed: one that the upstream closes as a
-/// request is written ends that request as a reset.
-const KEEP_PART: f64 = 0.7;
-/// Names of one list that may be given out in all, those no longer in use included: each holds memory until the end.
-const NAMES_MOST: usize = 4096;
+/// The share of the configured keep-alive time after which an idle connection is closed. The balancer closes first,
+/// because a request written to a connection that the upstream is just closing ends with a reset.
+const IDLE_TIMEOUT_SHARE: f64 = 0.7;
+/// The most names that one list may have had since the start, including those no longer in use: each holds memory
+/// until the program ends.
+const MAX_NAMES: usize = 4096;
 
-/// The longest time without asking that is passed on from the settings. Over HTTP whatever discovery has counts as told
-/// 6 s after it can be reached, whatever call failed; of 10 s the module leaves 4 s between calls, and an answer takes
-/// time too.
-const ASK_WITHIN_MOST: Duration = Duration::from_secs(10);
+/// The upper limit of the poll interval that is passed on from the settings. Over HTTP, a change counts as delivered 6 s
+/// after discovery can be reached, whatever call failed. With an interval of 10 s the decisions leave 4 s between calls,
+/// and the response takes time too.
+const MAX_POLL_INTERVAL: Duration = Duration::from_secs(10);
 
+/// The position of each name in a list of the settings.
 type Positions = FxHashMap<String, usize>;
 
-/// All positions that were ever given out; the names of requests in flight keep theirs.
+/// All positions assigned since the start. A name keeps its position, because requests in flight refer to it.
 #[derive(Debug, Clone)]
-struct GivenOut {
+struct AssignedPositions {
     classes: Positions,
     tenants: Positions,
     zones: Positions,
-    kinds: Positions,
+    machine_types: Positions,
 }
 
-/// A configuration that is in force.
+/// The configuration in force.
 #[derive(Debug)]
 pub struct InForce {
     name: String,
@@ -42,21 +44,21 @@
     discovery: SocketAddr,
     sockets: usize,
     names: Names,
-    given_out: GivenOut,
+    assigned: AssignedPositions,
     settings: Settings,
     connect_timeout: Duration,
 }
 
 impl InForce {
-    /// A configuration at the start of the program.
+    /// Puts the first configuration in force, at the start of the program.
     #[must_use]
     pub fn start(config: Config) -> Self {
         let names = config.loaded.names;
-        let given_out = GivenOut {
+        let assigned = AssignedPositions {
             classes: names.classes.clone(),
             tenants: names.tenants.clone(),
             zones: names.zones.clone(),
-            kinds: names.kinds.clone(),
+            machine_types: names.kinds.clone(),
         };
         Self {
             name: config.name,
@@ -65,224 +67,261 @@
             discovery: config.discovery,
             sockets: config.sockets,
             names,
-            given_out,
+            assigned,
             settings: config.loaded.settings,
             connect_timeout: config.loaded.connect_timeout,
         }
     }
 
-    /// What is in force once `config` has taken the place of this one, and what that changes. Known names keep their
-    /// positions, new ones are appended; one that `config` does not have keeps its place and is no longer accepted.
-    /// `descriptors` are in use now. The list of upstreams in `config` is not taken: discovery has spoken since.
+    /// Computes the configuration in force after `config` replaces this one, and what that changes. Known names keep
+    /// their positions and new names are appended; a name that `config` lacks keeps its position but is no longer
+    /// accepted. `open_descriptors` is the number of descriptors in use now. The list of upstreams in `config` is
+    /// ignored, because discovery has sent newer ones since the start.
     ///
     /// # Errors
-    /// The settings cannot follow those in force.
-    pub fn succeeded_by(&self, config: Config, descriptors: usize) -> Result<(Self, Changes), ReloadError> {
+    /// The settings cannot replace those in force.
+    pub fn replaced_by(
+        &self,
+        config: Config,
+        open_descriptors: usize,
+    ) -> Result<(Self, Changes), ReloadError> {
         let names = config.loaded.names;
-        let classes = carry_over(NameList::Classes, &self.given_out.classes, &names.classes)?;
-        let tenants = carry_over(NameList::Tenants, &self.given_out.tenants, &names.tenants)?;
-        let zones = carry_over(NameList::Zones, &self.given_out.zones, &names.zones)?;
-        let kinds = carry_over(NameList::Kinds, &self.given_out.kinds, &names.kinds)?;
-        let told = config.loaded.settings;
-        let retired = vec![Tenant { quota: Some(0.0) }; self.settings.tenants.len()];
+        let classes = carry_over(NameList::Classes, &self.assigned.classes, &names.classes)?;
+        let tenants = carry_over(NameList::Tenants, &self.assigned.tenants, &names.tenants)?;
+        let zones = carry_over(NameList::Zones, &self.assigned.zones, &names.zones)?;
+        let machine_types = carry_over(NameList::MachineTypes, &self.assigned.machine_types, &names.kinds)?;
+        let new_settings = config.loaded.settings;
+        let removed_tenants = vec![Tenant { quota: Some(0.0) }; self.settings.tenants.len()];
         let settings = Settings {
-            classes: placed(self.settings.classes.clone(), &told.classes, &classes.positions),
-            tenants: placed(retired, &told.tenants, &tenants.positions),
-            zone: ZoneId(zones.positions[told.zone.0]),
-            zone_count: zones.given_out.len(),
-            machine_type_count: kinds.given_out.len(),
-            ..told
+            classes: replace_at(self.settings.classes.clone(), &new_settings.classes, &classes.positions),
+            tenants: replace_at(removed_tenants, &new_settings.tenants, &tenants.positions),
+            zone: ZoneId(zones.positions[new_settings.zone.0]),
+            zone_count: zones.assigned.len(),
+            machine_type_count: machine_types.assigned.len(),
+            ..new_settings
         };
         settings.validate_replacement_of(&self.settings)?;
         let names = Names {
             classes: classes.in_use,
             tenants: tenants.in_use,
             zones: zones.in_use,
-            kinds: kinds.in_use,
+            kinds: machine_types.in_use,
             load_fields: names.load_fields,
         };
-        let given_out = GivenOut {
-            classes: classes.given_out,
-            tenants: tenants.given_out,
-            zones: zones.given_out,
-            kinds: kinds.given_out,
+        let assigned = AssignedPositions {
+            classes: classes.assigned,
+            tenants: tenants.assigned,
+            zones: zones.assigned,
+            machine_types: machine_types.assigned,
         };
         let next = Self {
             name: self.name.clone(),
             listen: self.listen,
             seed: self.seed,
             discovery: config.discovery,
-            sockets: if config.sockets > descriptors { config.sockets } else { self.sockets },
+            sockets: if config.sockets > open_descriptors { config.sockets } else { self.sockets },
             names,
-            given_out,
+            assigned,
             settings,
             connect_timeout: config.loaded.connect_timeout,
         };
-        let waiting = [
+        let restart_only = [
             ("name", config.name != next.name),
             ("listen", config.listen != next.listen),
             ("seed", config.seed != next.seed),
             ("limits.sockets", config.sockets != next.sockets),
         ];
-        let waiting = waiting.into_iter().filter(|(_, differs)| *differs).map(|(name, _)| name).collect();
-        let changes = Changes { applied: self.parts_changed(&next), waiting };
+        let restart_required =
+            restart_only.into_iter().filter(|(_, differs)| *differs).map(|(name, _)| name).collect();
+        let changes = Changes { applied: self.differences_to(&next), restart_required };
         Ok((next, changes))
     }
 
-    fn parts_changed(&self, next: &Self) -> Vec<Part> {
+    /// What differs in `next`, apart from the settings that only a restart applies.
+    fn differences_to(&self, next: &Self) -> Vec<Difference> {
         let (old, new) = (&self.settings, &next.settings);
-        let mut parts = Vec::new();
+        let mut differences = Vec::new();
         if self.discovery != next.discovery {
-            parts.push(Part::Discovery(next.discovery));
+            differences.push(Difference::DiscoveryAddress(next.discovery));
         }
-        let class = |place: usize| old.classes[place] != new.classes[place];
-        let tenant = |place: usize| old.tenants[place] != new.tenants[place];
-        let alike = |_| false;
-        parts.extend(list_parts(NameList::Classes, &self.names.classes, &next.names.classes, class));
-        parts.extend(list_parts(NameList::Tenants, &self.names.tenants, &next.names.tenants, tenant));
-        parts.extend(list_parts(NameList::Zones, &self.names.zones, &next.names.zones, alike));
-        parts.extend(list_parts(NameList::Kinds, &self.names.kinds, &next.names.kinds, alike));
-        let counts = [
-            ("copies", u64::from(old.replica_count), u64::from(new.replica_count)),
-            ("number", u64::from(old.replica_index), u64::from(new.replica_index)),
+        let class_differs = |position: usize| old.classes[position] != new.classes[position];
+        let tenant_differs = |position: usize| old.tenants[position] != new.tenants[position];
+        // Zones and machine types have no values besides their names.
+        let never_differs = |_| false;
+        differences.extend(name_differences(
+            NameList::Classes,
+            &self.names.classes,
+            &next.names.classes,
+            class_differs,
+        ));
+        differences.extend(name_differences(
+            NameList::Tenants,
+            &self.names.tenants,
+            &next.names.tenants,
+            tenant_differs,
+        ));
+        differences.extend(name_differences(
+            NameList::Zones,
+            &self.names.zones,
+            &next.names.zones,
+            never_differs,
+        ));
+        differences.extend(name_differences(
+            NameList::MachineTypes,
+            &self.names.kinds,
+            &next.names.kinds,
+            never_differs,
+        ));
+        let integers = [
+            ("balancers", u64::from(old.replica_count), u64::from(new.replica_count)),
+            ("me", u64::from(old.replica_index), u64::from(new.replica_index)),
             ("tier", old.tier as u64, new.tier as u64),
-            ("sockets", self.sockets as u64, next.sockets as u64),
+            ("limits.sockets", self.sockets as u64, next.sockets as u64),
         ];
-        let moved = counts.into_iter().filter(|(_, from, to)| from != to);
-        parts.extend(moved.map(|(name, from, to)| Part::Count { name, from, to }));
-        let figures = [
+        let changed = integers.into_iter().filter(|(_, from, to)| from != to);
+        differences.extend(changed.map(|(name, from, to)| Difference::Integer { name, from, to }));
+        let settings = [
             ("zone", old.zone != new.zone),
-            ("over-share worth", old.over_quota_value != new.over_quota_value),
-            ("how lists come", old.discovery != new.discovery),
-            ("deadlines passed on", old.propagates_deadline != new.propagates_deadline),
+            ("overShareWorth", old.over_quota_value != new.over_quota_value),
+            ("settings.discovery", old.discovery != new.discovery),
+            ("familyInfo.passesDeadline", old.propagates_deadline != new.propagates_deadline),
             ("caps", old.capabilities != new.capabilities || self.connect_timeout != next.connect_timeout),
             ("rules", old.rules != new.rules),
             ("prices", old.costs != new.costs),
-            ("load report", self.names.load_fields != next.names.load_fields),
+            ("loadInfo", self.names.load_fields != next.names.load_fields),
         ];
-        parts
-            .extend(figures.into_iter().filter(|(_, differs)| *differs).map(|(name, _)| Part::Figures(name)));
-        parts
+        let changed = settings.into_iter().filter(|(_, differs)| *differs);
+        differences.extend(changed.map(|(name, _)| Difference::Setting(name)));
+        differences
     }
 
-    /// What the decisions are told.
+    /// The settings for the decisions.
     #[must_use]
     pub fn settings(&self) -> Settings {
         let mut settings = self.settings.clone();
         if settings.discovery == DiscoveryMode::Push {
-            // Over HTTP these lists come on a watch too, but count as told without one, however lately it was asked.
+            // Over HTTP pushed lists arrive on a watch as well. A change still counts as delivered while there is no
+            // watch, however recently one was requested, so that no poll interval applies.
             settings.discovery = DiscoveryMode::Subscribe;
             settings.rules.max_poll_interval = None;
         }
         settings.rules.max_poll_interval =
-            settings.rules.max_poll_interval.map(|span| span.min(ASK_WITHIN_MOST));
+            settings.rules.max_poll_interval.map(|interval| interval.min(MAX_POLL_INTERVAL));
         settings
     }
 
-    /// The names that are accepted.
+    /// The names that the settings accept, with their positions.
     #[must_use]
     pub fn names(&self) -> &Names {
         &self.names
     }
 
-    /// Where discovery listens.
+    /// The address of discovery.
     #[must_use]
     pub fn discovery(&self) -> SocketAddr {
         self.discovery
     }
 
-    /// Descriptors that the process may hold.
+    /// The number of file descriptors that the process may have open.
     #[must_use]
     pub fn sockets(&self) -> usize {
         self.sockets
     }
 
-    /// How long a connection may take to come up.
+    /// The time limit for establishing a connection to an upstream.
     #[must_use]
     pub fn connect_timeout(&self) -> Duration {
         self.connect_timeout
     }
 
-    /// How long an idle connection to an upstream is kept.
+    /// The time after which an idle connection to an upstream is closed.
     #[must_use]
     pub fn keep(&self) -> Duration {
-        self.settings.capabilities.keepalive_timeout.mul_f64(KEEP_PART)
+        self.settings.capabilities.keepalive_timeout.mul_f64(IDLE_TIMEOUT_SHARE)
     }
 
-    /// How long a client that is refused is asked to stay away.
+    /// The longest `Retry-After` that a refused client may be given; `None` if the header is not to be sent.
     #[must_use]
     pub fn retry_after(&self) -> Option<Duration> {
         self.settings.capabilities.max_retry_after
     }
 
-    /// How a class's requests may be repeated and how long its clients wait.
+    /// The settings of a class: whether its requests may be retried, and its deadline.
     #[must_use]
     pub fn class(&self, class: ClassId) -> Option<&Class> {
         self.settings.classes.get(class.0)
     }
 
-    /// The longest that clients of the classes accepted wait.
+    /// The longest deadline of the accepted classes.
     #[must_use]
     pub fn longest_deadline(&self) -> Duration {
-        let classes = self.names.classes.values().map(|&place| &self.settings.classes[place]);
+        let classes = self.names.classes.values().map(|&position| &self.settings.classes[position]);
         classes.map(|class| class.deadline).max().unwrap_or_default()
     }
 }
 
-/// A list of names whose positions go on.
+/// The positions of one list of names after a new configuration.
 struct CarriedOver {
-    given_out: Positions,
+    /// All names since the start.
+    assigned: Positions,
+    /// The names of the new configuration.
     in_use: Positions,
-    /// Positions of the new list's names, in the order of that list.
+    /// The positions of the new configuration's names, in the order of its list.
     positions: Vec<usize>,
 }
 
-fn carry_over(list: NameList, given_out: &Positions, new: &Positions) -> Result<CarriedOver, ReloadError> {
-    let mut given_out = given_out.clone();
+/// Assigns positions to the names of a new list: names known before keep theirs, others get the next free ones.
+fn carry_over(list: NameList, assigned: &Positions, new: &Positions) -> Result<CarriedOver, ReloadError> {
+    let mut assigned = assigned.clone();
     let mut names: Vec<_> = new.iter().collect();
     names.sort_unstable_by_key(|(_, position)| **position);
     let mut positions = Vec::with_capacity(names.len());
     for (name, _) in &names {
-        let next = given_out.len();
-        positions.push(*given_out.entry((*name).clone()).or_insert(next));
+        let next = assigned.len();
+        positions.push(*assigned.entry((*name).clone()).or_insert(next));
     }
-    if given_out.len() > NAMES_MOST {
+    if assigned.len() > MAX_NAMES {
         return Err(ReloadError::TooManyNames(list));
     }
     let in_use = names.iter().map(|(name, _)| (*name).clone()).zip(positions.iter().copied()).collect();
-    Ok(CarriedOver { given_out, in_use, positions })
+    Ok(CarriedOver { assigned, in_use, positions })
 }
 
-/// Figures at their positions, in place of those that stand there.
-fn placed<T: Clone>(mut figures: Vec<T>, new: &[T], positions: &[usize]) -> Vec<T> {
-    for (figure, &position) in new.iter().zip(positions) {
-        match figures.get_mut(position) {
-            Some(place) => *place = figure.clone(),
-            // Positions beyond are given out in this order.
-            None => figures.push(figure.clone()),
+/// Replaces the values at `positions` with the new ones, which are in the same order; new positions are appended.
+fn replace_at<T: Clone>(mut values: Vec<T>, new: &[T], positions: &[usize]) -> Vec<T> {
+    for (value, &position) in new.iter().zip(positions) {
+        match values.get_mut(position) {
+            Some(current) => *current = value.clone(),
+            // Positions past the end were assigned in this order, so that appending keeps value and position together.
+            None => values.push(value.clone()),
         }
     }
-    figures
+    values
 }
 
-fn list_parts(
+/// The names added to and removed from a list, and those on both lists whose values differ, as counts above zero.
+fn name_differences(
     list: NameList,
     old: &Positions,
     new: &Positions,
     differs: impl Fn(usize) -> bool,
-) -> impl Iterator<Item = Part> {
-    let missing =
-        |from: &Positions, to: &Positions| from.keys().filter(|name| !to.contains_key(*name)).count();
-    let changed = old.iter().filter(|(name, place)| new.contains_key(*name) && differs(**place)).count();
-    let parts = [
-        Part::Added { list, count: missing(new, old) },
-        Part::Removed { list, count: missing(old, new) },
-        Part::Changed { list, count: changed },
+) -> impl Iterator<Item = Difference> {
+    let count_missing = |from: &Positions, in_list: &Positions| {
+        from.keys().filter(|name| !in_list.contains_key(*name)).count()
+    };
+    let changed =
+        old.iter().filter(|(name, position)| new.contains_key(*name) && differs(**position)).count();
+    let differences = [
+        Difference::Added { list, count: count_missing(new, old) },
+        Difference::Removed { list, count: count_missing(old, new) },
+        Difference::Changed { list, count: changed },
     ];
-    parts.into_iter().filter(|part| {
+    differences.into_iter().filter(|difference| {
         !matches!(
-            part,
-            Part::Added { count: 0, .. } | Part::Removed { count: 0, .. } | Part::Changed { count: 0, .. }
+            difference,
+            Difference::Added { count: 0, .. }
+                | Difference::Removed { count: 0, .. }
+                | Difference::Changed { count: 0, .. }
         )
     })
 }
--- a/proxy/src/in_force/tests.rs
+++ b/proxy/src/in_force/tests.rs
@@ -1,4 +1,4 @@
-//! What of a configuration follows another, by position and by line.
+//! Tests of replacing the configuration in force: positions of names, and the log line about the changes.
 
 use super::*;
 use serde_json::{Value, json};
@@ -22,19 +22,19 @@
     Config::parse(&text.to_string(), |_| None).expect("a sound configuration")
 }
 
-/// What is in force after a change of the configuration, and the line about it.
-fn changed(old: &InForce, change: impl FnOnce(&mut Value)) -> (InForce, String) {
+/// Replaces the configuration in force with a changed one; returns the new one and the text about the changes.
+fn replace_with(old: &InForce, change: impl FnOnce(&mut Value)) -> (InForce, String) {
     let mut text = text();
     change(&mut text);
-    let (new, changes) = old.succeeded_by(config(&text), 100).expect("it follows");
+    let (new, changes) = old.replaced_by(config(&text), 100).expect("an accepted replacement");
     (new, changes.to_string())
 }
 
-/// Guards requests in flight against being taken for those of another class or tenant.
+/// Guards against requests in flight being attributed to another class or tenant after a reload.
 #[test]
-fn positions_go_on_and_new_names_are_appended() {
+fn known_names_keep_their_positions_and_new_ones_are_appended() {
     let start = InForce::start(config(&text()));
-    let (next, line) = changed(&start, |text| {
+    let (next, line) = replace_with(&start, |text| {
         let settings = &mut text["settings"];
         settings["lanes"] = json!([lane("order", "at_most_once"), lane("read", "at_most_once")]);
         settings["projects"] =
@@ -46,20 +46,20 @@
     assert_eq!(
         line,
         "1 class added, 1 class removed, 1 class changed, 1 tenant added, 1 tenant removed, 1 tenant changed, \
-         1 zone added, 1 zone removed, 1 kind added, zone"
+         1 zone added, 1 zone removed, 1 machine type added, zone"
     );
-    let places = |names: &Positions| {
-        let mut places: Vec<_> = names.iter().map(|(name, &place)| (place, name.clone())).collect();
-        places.sort();
-        places
+    let by_position = |names: &Positions| {
+        let mut names: Vec<_> = names.iter().map(|(name, &position)| (position, name.clone())).collect();
+        names.sort();
+        names
     };
-    let named = |list: &[(usize, &str)]| -> Vec<_> {
-        list.iter().map(|&(place, name)| (place, name.to_owned())).collect()
+    let owned = |list: &[(usize, &str)]| -> Vec<_> {
+        list.iter().map(|&(position, name)| (position, name.to_owned())).collect()
     };
-    assert_eq!(places(&next.names.classes), named(&[(0, "read"), (2, "order")]));
-    assert_eq!(places(&next.names.tenants), named(&[(1, "zenith"), (2, "nova")]));
-    assert_eq!(places(&next.names.zones), named(&[(1, "south"), (2, "west")]));
-    assert_eq!(places(&next.names.kinds), named(&[(0, "std"), (1, "big")]));
+    assert_eq!(by_position(&next.names.classes), owned(&[(0, "read"), (2, "order")]));
+    assert_eq!(by_position(&next.names.tenants), owned(&[(1, "zenith"), (2, "nova")]));
+    assert_eq!(by_position(&next.names.zones), owned(&[(1, "south"), (2, "west")]));
+    assert_eq!(by_position(&next.names.kinds), owned(&[(0, "std"), (1, "big")]));
     let settings = next.settings();
     let effects: Vec<_> = settings.classes.iter().map(|class| class.idempotency).collect();
     assert_eq!(effects, [stilelead_decision::interface::Idempotency::NonIdempotent; 3]);
@@ -67,18 +67,18 @@
     assert_eq!(quotas, [Some(0.0), Some(8.0), Some(9.0)]);
     assert_eq!((settings.zone, settings.zone_count, settings.machine_type_count), (ZoneId(2), 3, 2));
     assert_eq!(settings.validate_replacement_of(&start.settings()), Ok(()));
-    // A name that comes back finds its position.
-    let (back, line) = changed(&next, |_| {});
+    // A name that is added again gets its old position.
+    let (restored, line) = replace_with(&next, |_| {});
     assert!(line.starts_with("1 class added, 1 class removed, 1 class changed"), "{line}");
-    assert_eq!(places(&back.names.classes), named(&[(0, "read"), (1, "pay")]));
-    assert_eq!(back.settings().tenants[0].quota, Some(5.0));
+    assert_eq!(by_position(&restored.names.classes), owned(&[(0, "read"), (1, "pay")]));
+    assert_eq!(restored.settings().tenants[0].quota, Some(5.0));
 }
 
 #[test]
-fn the_line_names_what_has_changed_and_what_waits() {
+fn the_text_names_what_has_changed_and_what_requires_a_restart() {
     let start = InForce::start(config(&text()));
-    assert_eq!(changed(&start, |_| {}).1, "nothing has changed");
-    let (next, line) = changed(&start, |text| {
+    assert_eq!(replace_with(&start, |_| {}).1, "nothing has changed");
+    let (next, line) = replace_with(&start, |text| {
         text["discovery"] = json!("127.0.0.1:2");
         text["listen"] = json!("127.0.0.1:81");
         text["seed"] = json!("2f");
@@ -94,38 +94,42 @@
     });
     assert_eq!(
         line,
-        "discovery at 127.0.0.1:2, 2 classes added, copies 12 to 14, sockets 1024 to 2048, caps, prices; \
-         waits for a restart: listen, seed"
+        "discovery at 127.0.0.1:2, 2 classes added, balancers 12 to 14, limits.sockets 1024 to 2048, caps, prices; \
+         requires a restart: listen, seed"
     );
     assert_eq!((next.sockets(), next.connect_timeout()), (2048, Duration::from_secs(2)));
-    // Fewer descriptors than are in use.
-    let (next, line) = changed(&start, |text| text["limits"]["sockets"] = json!(100));
-    assert_eq!(line, "nothing has changed; waits for a restart: limits.sockets");
+    // A limit below the number of descriptors in use is not applied.
+    let (next, line) = replace_with(&start, |text| text["limits"]["sockets"] = json!(100));
+    assert_eq!(line, "nothing has changed; requires a restart: limits.sockets");
     assert_eq!(next.sockets(), 1024);
 }
 
 #[test]
-fn the_longest_deadline_is_that_of_the_classes_accepted() {
+fn the_longest_deadline_counts_accepted_classes_only() {
     let start = InForce::start(config(&text()));
-    let longer = |text: &mut Value| text["settings"]["lanes"][1]["hardLimitS"] = json!(9.0);
-    let (next, _) = changed(&start, longer);
+    let with_longer_deadline = |text: &mut Value| text["settings"]["lanes"][1]["hardLimitS"] = json!(9.0);
+    let (next, _) = replace_with(&start, with_longer_deadline);
     assert_eq!(next.longest_deadline(), Duration::from_secs(9));
-    let (next, _) = changed(&next, |text| text["settings"]["lanes"] = json!([lane("read", "idempotent")]));
+    let (next, _) =
+        replace_with(&next, |text| text["settings"]["lanes"] = json!([lane("read", "idempotent")]));
     assert_eq!(next.longest_deadline(), Duration::from_secs(2));
 }
 
-/// Guards memory against a file that has ever new names.
+/// Guards against memory that grows with every reload because each file has new names.
 #[test]
-fn names_without_end_are_refused() {
+fn more_names_than_the_limit_are_rejected() {
     let mut in_force = InForce::start(config(&text()));
     for round in 0.. {
         let mut text = text();
         let names = (0..1000).map(|number| json!({"name": format!("t-{round}-{number}")}));
         text["settings"]["projects"] = names.collect();
-        match in_force.succeeded_by(config(&text), 0) {
+        match in_force.replaced_by(config(&text), 0) {
             Ok((next, _)) => in_force = next,
             Err(error) => {
-                assert_eq!(error.to_string(), "too many tenants by name since the start");
+                assert_eq!(
+                    error.to_string(),
+                    "too many different tenants since the start; a restart is required"
+                );
                 assert_eq!(in_force.settings().tenants.len(), 4002);
                 return;
             }
--- a/proxy/src/logging.rs
+++ b/proxy/src/logging.rs
@@ -1,4 +1,4 @@
-//! The operator's log: one line an event on standard error.
+//! The operator's log: one line per event on standard error.
 
 use std::env;
 use std::fmt;
@@ -10,18 +10,18 @@
 use tracing_subscriber::fmt::{FmtContext, FormatEvent, FormatFields};
 use tracing_subscriber::registry::LookupSpan;
 
-/// The environment variable that names the most detailed level to be written.
+/// The environment variable that sets the most detailed level to be logged.
 pub const LEVEL_VARIABLE: &str = "PROXY_LOG";
 
-/// The log cannot be written as asked.
+/// Why the log cannot be started.
 #[derive(Debug, Error)]
 pub enum LoggingError {
-    /// `PROXY_LOG` names no level.
-    #[error("{LEVEL_VARIABLE} makes no sense: {0:?} is none of off, error, warn, info, debug, trace")]
-    Level(String),
+    /// The value of `PROXY_LOG` is not a level.
+    #[error("{LEVEL_VARIABLE} is invalid: {0:?}; expected off, error, warn, info, debug or trace")]
+    InvalidLevel(String),
 }
 
-/// A line is the program's name, the message and the event's fields; whoever collects it adds the time.
+/// Writes the program's name, the message and the event's fields; the log collector adds the time.
 struct LineFormat;
 
 impl<S, N> FormatEvent<S, N> for LineFormat
@@ -41,16 +41,16 @@
     }
 }
 
-/// Starts the log at the level that `PROXY_LOG` names, `info` where it names none.
+/// Starts the log at the level in `PROXY_LOG`, or at `info` if that is not set.
 ///
 /// # Errors
-/// It names no level.
+/// The value of `PROXY_LOG` is not a level.
 pub fn start() -> Result<(), LoggingError> {
     let level = match env::var(LEVEL_VARIABLE) {
-        Ok(name) => name.parse::<LevelFilter>().map_err(|_| LoggingError::Level(name))?,
+        Ok(name) => name.parse::<LevelFilter>().map_err(|_| LoggingError::InvalidLevel(name))?,
         Err(_) => LevelFilter::INFO,
     };
-    // A log that nobody reads any more must not end the program, so that what cannot be written is dropped.
+    // A closed standard error must not end the program: lines that cannot be written are dropped.
     tracing_subscriber::fmt()
         .with_max_level(level)
         .with_ansi(false)
--- a/proxy/src/main.rs
+++ b/proxy/src/main.rs
@@ -51,7 +51,7 @@
 /// Reads the configuration again at each SIGHUP and sends it on, or the reason why it cannot be used.
 async fn reload_on_hangup(mut hangup: Signal, reload_sender: UnboundedSender<Result<Config, ConfigError>>) {
     while hangup.recv().await.is_some() {
-        if reload_sender.send(Config::replaced()).is_err() {
+        if reload_sender.send(Config::reread()).is_err() {
             return;
         }
     }
--- a/proxy/src/reload.rs
+++ b/proxy/src/reload.rs
@@ -1,5 +1,4 @@
-//! A configuration that is put in force while the program runs: what it changes, why it is refused, and the line that
-//! tells the operator.
+//! Configuration reloads: what a new configuration changes, why it is rejected, and the log line about it.
 
 use std::fmt::{self, Display, Formatter};
 use std::net::SocketAddr;
@@ -12,31 +11,31 @@
 use crate::config::{Config, ConfigError};
 use crate::driver::Driver;
 
-/// Why the old configuration stays in force.
+/// Why a new configuration is rejected; the old one stays in force.
 #[derive(Debug, Error)]
 pub enum ReloadError {
-    /// The file cannot be used.
+    /// The file cannot be read or is invalid.
     #[error("{0}")]
     Config(#[from] ConfigError),
-    /// The settings cannot follow those in force.
-    #[error("the settings cannot follow those in force: {0}")]
+    /// The settings cannot replace those in force.
+    #[error("the settings cannot replace those in force: {0}")]
     Settings(#[from] SettingsError),
-    /// More names than may be given out until a restart.
-    #[error("too many {} by name since the start", .0.plural())]
+    /// The list has had more names since the start of the program than may be kept.
+    #[error("too many different {} since the start; a restart is required", .0.plural())]
     TooManyNames(NameList),
 }
 
 /// A list of names in the settings.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum NameList {
-    /// Classes of requests.
+    /// Request classes.
     Classes,
     /// Tenants.
     Tenants,
     /// Zones.
     Zones,
-    /// Kinds of machine.
-    Kinds,
+    /// Machine types.
+    MachineTypes,
 }
 
 impl NameList {
@@ -45,7 +44,7 @@
             Self::Classes => "class",
             Self::Tenants => "tenant",
             Self::Zones => "zone",
-            Self::Kinds => "kind",
+            Self::MachineTypes => "machine type",
         }
     }
 
@@ -54,112 +53,119 @@
             Self::Classes => "classes",
             Self::Tenants => "tenants",
             Self::Zones => "zones",
-            Self::Kinds => "kinds",
+            Self::MachineTypes => "machine types",
         }
     }
 
-    fn counted(self, count: usize) -> &'static str {
+    /// The noun that goes with `count`.
+    fn noun_for(self, count: usize) -> &'static str {
         if count == 1 { self.singular() } else { self.plural() }
     }
 }
 
-/// A part of the configuration that has changed.
+/// One difference between the old and the new configuration.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Part {
-    /// Where discovery listens.
-    Discovery(SocketAddr),
-    /// Names that were not accepted before.
+pub enum Difference {
+    /// Discovery has a new address.
+    DiscoveryAddress(SocketAddr),
+    /// Names were added to a list.
     Added {
-        /// Of what.
+        /// The list of names.
         list: NameList,
-        /// How many.
+        /// The number of names.
         count: usize,
     },
-    /// Names that are no longer accepted.
+    /// Names were removed from a list; they are no longer accepted.
     Removed {
-        /// Of what.
+        /// The list of names.
         list: NameList,
-        /// How many.
+        /// The number of names.
         count: usize,
     },
-    /// Names whose figures are others.
+    /// Values of names on both lists have changed.
     Changed {
-        /// Of what.
+        /// The list of names.
         list: NameList,
-        /// How many.
+        /// The number of names.
         count: usize,
     },
-    /// A whole number.
-    Count {
-        /// Its name.
+    /// An integer setting has changed.
+    Integer {
+        /// The key of the setting.
         name: &'static str,
-        /// What it was.
+        /// The old value.
         from: u64,
-        /// What it is.
+        /// The new value.
         to: u64,
     },
-    /// Other figures, by the name of their group.
-    Figures(&'static str),
+    /// A setting, or a value in a group of settings, has changed; named by its key.
+    Setting(&'static str),
 }
 
-impl Display for Part {
-    fn fmt(&self, to: &mut Formatter<'_>) -> fmt::Result {
+impl Display for Difference {
+    fn fmt(&self, f: &mut Formatter<'_>) -> fmt::Result {
         match *self {
-            Self::Discovery(address) => write!(to, "discovery at {address}"),
-            Self::Added { list, count } => write!(to, "{count} {} added", list.counted(count)),
-            Self::Removed { list, count } => write!(to, "{count} {} removed", list.counted(count)),
-            Self::Changed { list, count } => write!(to, "{count} {} changed", list.counted(count)),
-            Self::Count { name, from, to: now } => write!(to, "{name} {from} to {now}"),
-            Self::Figures(name) => to.write_str(name),
+            Self::DiscoveryAddress(address) => write!(f, "discovery at {address}"),
+            Self::Added { list, count } => write!(f, "{count} {} added", list.noun_for(count)),
+            Self::Removed { list, count } => write!(f, "{count} {} removed", list.noun_for(count)),
+            Self::Changed { list, count } => write!(f, "{count} {} changed", list.noun_for(count)),
+            Self::Integer { name, from, to } => write!(f, "{name} {from} to {to}"),
+            Self::Setting(name) => f.write_str(name),
         }
     }
 }
 
-/// What a new configuration has changed.
+/// The differences between an old and a new configuration.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Changes {
-    /// In force now.
-    pub applied: Vec<Part>,
-    /// Not before a restart.
-    pub waiting: Vec<&'static str>,
+    /// The differences that are in force now.
+    pub applied: Vec<Difference>,
+    /// The keys whose new values take effect only after a restart.
+    pub restart_required: Vec<&'static str>,
 }
 
 impl Changes {
-    /// Whether zones or kinds of machine go by other names: the list in hand was read by the old ones.
+    /// Whether the full list must be requested again: names of zones or machine types were added or removed, and the
+    /// entries of the current list were read with the old names.
     #[must_use]
-    pub fn renames_members(&self) -> bool {
-        let renames = |part: &Part| match part {
-            Part::Added { list, .. } | Part::Removed { list, .. } => {
-                matches!(list, NameList::Zones | NameList::Kinds)
+    pub fn needs_full_list(&self) -> bool {
+        let changes_member_names = |difference: &Difference| match difference {
+            Difference::Added { list, .. } | Difference::Removed { list, .. } => {
+                matches!(list, NameList::Zones | NameList::MachineTypes)
             }
             _ => false,
         };
-        self.applied.iter().any(renames)
+        self.applied.iter().any(changes_member_names)
     }
 }
 
 impl Display for Changes {
-    fn fmt(&self, to: &mut Formatter<'_>) -> fmt::Result {
+    fn fmt(&self, f: &mut Formatter<'_>) -> fmt::Result {
         if self.applied.is_empty() {
-            to.write_str("nothing has changed")?;
+            f.write_str("nothing has changed")?;
         }
-        for (number, part) in self.applied.iter().enumerate() {
-            let between = if number > 0 { ", " } else { "" };
-            write!(to, "{between}{part}")?;
+        for (index, difference) in self.applied.iter().enumerate() {
+            let separator = if index > 0 { ", " } else { "" };
+            write!(f, "{separator}{difference}")?;
         }
-        if !self.waiting.is_empty() {
-            write!(to, "; waits for a restart: {}", self.waiting.join(", "))?;
+        if !self.restart_required.is_empty() {
+            write!(f, "; requires a restart: {}", self.restart_required.join(", "))?;
         }
         Ok(())
     }
 }
 
-/// Puts each configuration that replaces another in force, whole or not at all, and says so in one line.
-pub async fn follow(driver: Rc<Driver>, mut replaced: UnboundedReceiver<Result<Config, ConfigError>>) {
-    while let Some(config) = replaced.recv().await {
+/// Puts each new configuration in force, either completely or not at all, and logs the result in one line.
+pub async fn apply_reloads(
+    driver: Rc<Driver>,
+    mut new_configs: UnboundedReceiver<Result<Config, ConfigError>>,
+) {
+    while let Some(config) = new_configs.recv().await {
         match config.map_err(ReloadError::from).and_then(|config| driver.reconfigure(config)) {
             Ok(changes) => tracing::info!("configuration applied: {changes}"),
-            Err(error) => tracing::warn!("goes on with the old configuration: {error}"),
+            Err(error) => {
+                tracing::warn!("the new configuration is rejected, the old one stays in force: {error}")
+            }
         }
     }
 }
--- a/proxy/src/server.rs
+++ b/proxy/src/server.rs
@@ -262,7 +262,7 @@
     stop: impl Future<Output = ()>,
 ) -> io::Result<()> {
     let driver = Driver::start(config).map_err(io::Error::other)?;
-    spawn_local(reload::follow(Rc::clone(&driver), reloads));
+    spawn_local(reload::apply_reloads(Rc::clone(&driver), reloads));
     let (phase, phases) = watch::channel(Phase::Serving);
     let clients = Rc::new(Clients {
         driver,
--- a/proxy/src/subscription.rs
+++ b/proxy/src/subscription.rs
@@ -1,4 +1,4 @@
-//! Which watch on discovery stands and what the next one asks for.
+//! The current watch on discovery, and what the next one requests.
 
 use std::net::SocketAddr;
 
@@ -6,37 +6,40 @@
 
 use crate::discovery::{WatchNumber, WatchRequest};
 
-/// The watch of one copy.
+/// The subscription of one balancer instance to discovery: the current watch, and the previous one while it is being
+/// replaced.
 #[derive(Debug)]
 pub struct Subscription {
+    /// The address of discovery.
     address: SocketAddr,
-    /// The version of the list in hand.
+    /// The version of the current list; 0 requests the full list.
     version: u64,
+    /// The number of the newest watch.
     number: WatchNumber,
     watch: Option<AbortHandle>,
-    /// The watch before one that was asked for anew, until that one has spoken.
-    old_watch: Option<AbortHandle>,
+    /// The watch that is being replaced; it stays open until the new one delivers an update.
+    previous_watch: Option<AbortHandle>,
 }
 
 impl Subscription {
-    /// No watch yet; the first one asks at `address` for the whole list.
+    /// Starts without a watch; the first one will request the full list from `address`.
     #[must_use]
     pub fn new(address: SocketAddr) -> Self {
-        Self { address, version: 0, number: WatchNumber(0), watch: None, old_watch: None }
+        Self { address, version: 0, number: WatchNumber(0), watch: None, previous_watch: None }
     }
 
-    /// The watch that was asked for last.
+    /// The number of the newest watch.
     #[must_use]
     pub fn number(&self) -> WatchNumber {
         self.number
     }
 
-    /// The next watch asks for what came after this version.
+    /// The next watch will request the changes after this version.
     pub fn resume_from(&mut self, version: u64) {
         self.version = version;
     }
 
-    /// Ends the watch that stands, if one does, and starts the next with `start`.
+    /// Aborts the current watch, if there is one, and starts a new one with `start`.
     pub fn renew(&mut self, start: impl FnOnce(WatchRequest) -> AbortHandle) {
         if let Some(watch) = self.watch.take() {
             watch.abort();
@@ -46,45 +49,46 @@
         self.watch = Some(start(request));
     }
 
-    /// Discovery is at another address; `false` if it was there before. The watch that stands goes on being heard
-    /// until the new one has spoken, so that no drain is missed in between.
-    pub fn move_to(&mut self, address: SocketAddr) -> bool {
+    /// Sets the address of discovery; returns whether it changed. After a change the current watch stays open until
+    /// the next one delivers an update, so that no drain is missed in between.
+    pub fn set_address(&mut self, address: SocketAddr) -> bool {
         if std::mem::replace(&mut self.address, address) == address {
             return false;
         }
-        self.set_aside();
+        self.keep_as_previous();
         true
     }
 
-    /// The next watch asks for the whole list; until it has spoken the one that stands is heard.
-    pub fn start_over(&mut self) {
+    /// The next watch will request the full list; the current one stays open until that one delivers an update.
+    pub fn request_full_list(&mut self) {
         self.version = 0;
-        self.set_aside();
+        self.keep_as_previous();
     }
 
-    fn set_aside(&mut self) {
+    /// Keeps the current watch open as the previous one; one that was kept before is aborted.
+    fn keep_as_previous(&mut self) {
         if let Some(watch) = self.watch.take()
-            && let Some(older) = self.old_watch.replace(watch)
+            && let Some(older) = self.previous_watch.replace(watch)
         {
             older.abort();
         }
     }
 
-    /// A watch has told of this version; `false` if another one is to take its place.
-    pub fn heard(&mut self, number: WatchNumber, version: u64) -> bool {
-        // Where discovery was, versions may be ahead of those where it is, and what lies between them would
-        // never be asked for.
+    /// Records that a watch delivered an update to this version; returns `false` if a newer watch has been started.
+    pub fn record_update(&mut self, number: WatchNumber, version: u64) -> bool {
+        // The version of an older watch is ignored: discovery at its previous address may be ahead of the new one, and
+        // the changes in between would then never be requested.
         if number == self.number {
             self.version = version;
-            if let Some(old) = self.old_watch.take() {
-                old.abort();
+            if let Some(previous) = self.previous_watch.take() {
+                previous.abort();
             }
         }
         number == self.number
     }
 
-    /// A watch has ended; `false` if another one has taken its place.
-    pub fn broke(&mut self, number: WatchNumber) -> bool {
+    /// Records that a watch has ended; returns `false` if a newer watch has been started.
+    pub fn record_end(&mut self, number: WatchNumber) -> bool {
         if number != self.number {
             return false;
         }
@@ -93,10 +97,10 @@
     }
 }
 
-/// A copy that is gone hears no watch.
+/// Aborts the watches when the balancer instance is gone.
 impl Drop for Subscription {
     fn drop(&mut self) {
-        for watch in [self.watch.take(), self.old_watch.take()].into_iter().flatten() {
+        for watch in [self.watch.take(), self.previous_watch.take()].into_iter().flatten() {
             watch.abort();
         }
     }
--- a/proxy/tests/clients.rs
+++ b/proxy/tests/clients.rs
@@ -544,7 +544,7 @@
     };
     let mut line = String::new();
     hang_up("{");
-    while !line.contains("goes on with the old configuration") {
+    while !line.contains("the old one stays in force") {
         line.clear();
         assert!(log.read_line(&mut line).expect("a line") > 0, "the program ended");
     }
@@ -562,9 +562,9 @@
     let sound = configuration(dead_address(), &[], 1.0, 1024);
     for (text, part) in [
         ("{".to_owned(), "malformed"),
-        (sound.replace("127.0.0.1:0", "here"), "listen makes no sense"),
-        (sound.replace("8c1f", "xyz"), "seed makes no sense"),
-        (sound.replace("1024", "4"), "limits.sockets makes no sense"),
+        (sound.replace("127.0.0.1:0", "here"), "listen is invalid: \"here\""),
+        (sound.replace("8c1f", "xyz"), "seed is invalid: \"xyz\""),
+        (sound.replace("1024", "4"), "limits.sockets is invalid: \"4\""),
         (sound.replace("idempotent", "harmless"), "settings are malformed"),
         (
             sound.replace("\"me\":0", "\"me\":0,\"balancers\":0").replacen("\"balancers\":1,", "", 1),
--- a/proxy/tests/observability.rs
+++ b/proxy/tests/observability.rs
@@ -95,6 +95,6 @@
     let output = command_within(1024, &file).env("PROXY_LOG", "loud").output().expect("starts");
     assert!(!output.status.success());
     let said = String::from_utf8(output.stderr).expect("text");
-    assert!(said.contains("PROXY_LOG makes no sense: \"loud\""), "{said}");
+    assert!(said.contains("PROXY_LOG is invalid: \"loud\""), "{said}");
     std::fs::remove_file(file).expect("it is there");
 }
--- a/proxy/tests/reload.rs
+++ b/proxy/tests/reload.rs
@@ -185,7 +185,10 @@
     ];
     for (bytes, reason) in files {
         let line = program.reload(&bytes);
-        assert!(line.starts_with("stilelead: goes on with the old configuration: "), "{line}");
+        assert!(
+            line.starts_with("stilelead: the new configuration is rejected, the old one stays in force: "),
+            "{line}"
+        );
         assert!(line.contains(reason), "{line}");
         let mut client = Client::connect(program.address);
         assert_eq!(client.ask("order", "").status(), 200);
@@ -196,7 +199,7 @@
     let sent = Command::new("kill").args(["-HUP", &program.child.id().to_string()]).status().expect("sent");
     assert!(sent.success());
     let line = program.next_line_on_configuration();
-    assert!(line.contains("goes on with the old configuration: cannot read"), "{line}");
+    assert!(line.contains("the old one stays in force: cannot read"), "{line}");
     std::fs::remove_dir(&program.file).expect("it is there");
     assert!(new.next_watch().is_none(), "discovery moved without its settings");
     // Settings and discovery move together, and the request that was there before all this is answered.
--- a/scale/src/hollow/copy.rs
+++ b/scale/src/hollow/copy.rs
@@ -96,16 +96,16 @@
         origin: Origin,
         positions: &FxHashMap<String, usize>,
     ) -> Change {
-        let change = self.directory.take(update, origin, self.in_force.names());
+        let change = self.directory.apply(update, origin, self.in_force.names());
         for endpoint in &update.endpoints {
-            if let Some(upstream) = self.directory.number(&endpoint.name)
+            if let Some(upstream) = self.directory.id_of(&endpoint.name)
                 && let Some(&node) = positions.get(&endpoint.name)
             {
                 self.nodes.insert(upstream, node);
             }
         }
         let directory = &self.directory;
-        self.nodes.retain(|&upstream, _| directory.lists(upstream));
+        self.nodes.retain(|&upstream, _| directory.contains(upstream));
         change
     }
 
--- a/scale/src/hollow/host/lists.rs
+++ b/scale/src/hollow/host/lists.rs
@@ -28,7 +28,7 @@
         }
     }
 
-    fn broke(&self, watch: WatchNumber, reason: &WatchError) {
+    fn ended(&self, watch: WatchNumber, reason: &WatchError) {
         if let Some(host) = self.host.upgrade() {
             host.borrow_mut().watch_broke(self.copy, watch, reason);
         }
@@ -74,7 +74,7 @@
     fn list_told(&mut self, copy: usize, watch: WatchNumber, update: &Update) {
         let told = Instant::now();
         self.catch_up();
-        self.copies[copy].subscription.heard(watch, update.index);
+        self.copies[copy].subscription.record_update(watch, update.index);
         let list = self.take_list(copy, update, Origin::Watch);
         self.decide(copy, Event::Discovery(list));
         let in_force = Instant::now();
@@ -123,7 +123,7 @@
 
     fn watch_broke(&mut self, copy: usize, watch: WatchNumber, reason: &WatchError) {
         self.catch_up();
-        if !self.copies[copy].subscription.broke(watch) {
+        if !self.copies[copy].subscription.record_end(watch) {
             return;
         }
         self.set_watching(copy, false);
--- a/scale/src/hollow/host/settings.rs
+++ b/scale/src/hollow/host/settings.rs
@@ -51,19 +51,19 @@
     fn change_settings(&mut self, copy: usize, text: &str) -> Result<Instant, ReloadError> {
         let config = Config::parse(text, |_| None)?;
         let state = &mut self.copies[copy];
-        let (new, changes) = state.in_force.succeeded_by(config, state.sockets.get())?;
+        let (new, changes) = state.in_force.replaced_by(config, state.sockets.get())?;
         let old = std::mem::replace(&mut state.in_force, new);
         let (settings, discovery) = (state.in_force.settings(), state.in_force.discovery());
         if settings != old.settings() {
             self.decide(copy, Event::SettingsChanged(Box::new(settings)));
         }
         let in_force = Instant::now();
-        let whole = changes.renames_members();
+        let whole = changes.needs_full_list();
         let subscription = &mut self.copies[copy].subscription;
         if whole {
-            subscription.start_over();
+            subscription.request_full_list();
         }
-        if subscription.move_to(discovery) || whole {
+        if subscription.set_address(discovery) || whole {
             self.decide(copy, Event::DiscoveryMoved);
         }
         Ok(in_force)
