--- a/proxy/src/config.rs
+++ b/proxy/src/config.rs
@@ -70,9 +70,11 @@
     settings: Box<RawValue>,
 }
 
+/// Resource limits of the process.
 #[derive(Deserialize)]
 #[serde(default)]
 struct Limits {
+    /// File descriptors, see [`Config::sockets`].
     sockets: usize,
 }
 
@@ -97,7 +99,7 @@
     pub sockets: usize,
     /// The list of upstreams to start with, which may be out of date.
     pub known: Option<Update>,
-    /// The settings object after reading.
+    /// The settings object, parsed.
     pub loaded: Loaded,
 }
 
@@ -162,6 +164,7 @@
 /// With fewer file descriptors than this there would be none left for clients.
 const MIN_SOCKETS: usize = 48;
 
+/// Reads the file that `PROXY_CONFIG` names.
 fn read_file() -> Result<String, ConfigError> {
     let path = PathBuf::from(env::var_os("PROXY_CONFIG").ok_or(ConfigError::PathNotSet)?);
     let mut text = String::new();
--- a/proxy/src/directory.rs
+++ b/proxy/src/directory.rs
@@ -29,11 +29,13 @@
     pub restarted: Vec<UpstreamId>,
 }
 
+/// What is kept of an upstream's latest entry.
 #[derive(Debug)]
 struct ListEntry {
     address: SocketAddr,
     /// Unix time of the latest start in milliseconds, as discovery gives it.
     since_ms: u64,
+    /// Whether it accepts requests; otherwise it is draining.
     ready: bool,
 }
 
--- a/proxy/tests/clients.rs
+++ b/proxy/tests/clients.rs
@@ -544,7 +544,7 @@
     };
     let mut line = String::new();
     hang_up("{");
-    while !line.contains("the old one stays in force") {
+    while !line.contains("the new configuration is rejected, the old one stays in force") {
         line.clear();
         assert!(log.read_line(&mut line).expect("a line") > 0, "the program ended");
     }
--- a/proxy/tests/reload.rs
+++ b/proxy/tests/reload.rs
@@ -1,4 +1,4 @@
-//! A configuration that is put in force while requests are in flight, over sockets and by SIGHUP.
+//! Tests of configuration reloads while requests are in flight, inside the process and by SIGHUP.
 
 mod common;
 
@@ -13,7 +13,7 @@
 use common::*;
 use serde_json::{Value, json};
 
-/// An upstream that keeps requests whose body is `held` until it is let go.
+/// An upstream that answers requests with the body `held` only after the gate is opened, and others at once.
 struct Gate {
     upstream: Upstream,
     open: Arc<AtomicBool>,
@@ -22,10 +22,10 @@
 impl Gate {
     fn start() -> Self {
         let open = Arc::new(AtomicBool::new(false));
-        let opened = Arc::clone(&open);
+        let is_open = Arc::clone(&open);
         let upstream = Upstream::start(move |_, message| {
             if message.body == b"held" {
-                wait_for("the gate opens", || opened.load(Ordering::Acquire).then_some(()));
+                wait_for("the gate opens", || is_open.load(Ordering::Acquire).then_some(()));
             }
             ok("served")
         });
@@ -36,13 +36,13 @@
         vec![endpoint("s-1", self.upstream.address, 0, "ready")]
     }
 
-    /// A request that the upstream holds.
+    /// Sends a request that the upstream leaves unanswered until the gate opens, and waits until it has arrived there.
     fn hold(&self, address: SocketAddr, class: &str) -> Client {
         let mut client = Client::connect(address);
         client.send(class, "held");
-        let count = |message: &Message| message.body == b"held";
-        wait_for("it is held", || {
-            self.upstream.requests().iter().any(|(_, message)| count(message)).then_some(())
+        let is_held = |message: &Message| message.body == b"held";
+        wait_for("the request reaches the upstream", || {
+            self.upstream.requests().iter().any(|(_, message)| is_held(message)).then_some(())
         });
         client
     }
@@ -52,19 +52,19 @@
     }
 }
 
-fn parsed(configuration: &str) -> Value {
+fn parse_json(configuration: &str) -> Value {
     serde_json::from_str(configuration).expect("JSON")
 }
 
-fn lane(name: &str, effect: &str) -> Value {
+fn class_setting(name: &str, effect: &str) -> Value {
     json!({"name": name, "onTimeS": 30.0, "hardLimitS": 60.0, "effect": effect})
 }
 
-fn lanes(text: &mut Value) -> &mut Vec<Value> {
+fn class_settings(text: &mut Value) -> &mut Vec<Value> {
     text["settings"]["lanes"].as_array_mut().expect("a list")
 }
 
-/// The program, which ends with the test.
+/// A running balancer process, which is killed when dropped.
 struct Program {
     child: Child,
     address: SocketAddr,
@@ -80,16 +80,16 @@
         Self { child, address, log, file }
     }
 
-    /// Replaces the configuration, and gives the line about it.
+    /// Replaces the configuration file, sends SIGHUP and returns the log line about the reload.
     fn reload(&mut self, bytes: &[u8]) -> String {
         std::fs::write(&self.file, bytes).expect("written");
         let sent = Command::new("kill").args(["-HUP", &self.child.id().to_string()]).status().expect("sent");
         assert!(sent.success());
-        self.next_line_on_configuration()
+        self.next_configuration_line()
     }
 
-    /// The log's next line that tells of a configuration.
-    fn next_line_on_configuration(&mut self) -> String {
+    /// The next log line about the configuration.
+    fn next_configuration_line(&mut self) -> String {
         loop {
             let mut line = String::new();
             assert!(self.log.read_line(&mut line).expect("a line") > 0, "the program ended");
@@ -114,11 +114,11 @@
     let discovery = Discovery::start();
     let old = configuration(discovery.address, &gate.known(), 30.0, 1024);
     let mut program = Program::start(&old);
-    let mut held = gate.hold(program.address, "order");
+    let mut held_client = gate.hold(program.address, "order");
     assert_eq!(Client::connect(program.address).ask("extra", "").status(), 400);
-    let mut new = parsed(&old);
-    // In front of the others: the request in flight must not be taken for one of it.
-    lanes(&mut new).insert(0, lane("extra", "at_most_once"));
+    let mut new = parse_json(&old);
+    // The new class is first in the list: the request in flight must not be attributed to it.
+    class_settings(&mut new).insert(0, class_setting("extra", "at_most_once"));
     new["settings"]["projects"] = json!([{"name": "zenith"}, {"name": "acme"}]);
     let line = program.reload(new.to_string().as_bytes());
     assert_eq!(line, "stilelead: configuration applied: 1 class added, 1 tenant added");
@@ -127,7 +127,7 @@
     client.send_for("zenith", "order", "");
     assert_eq!(client.answer().expect("an answer").status(), 200);
     gate.open();
-    assert_eq!(held.answer().expect("an answer").status(), 200);
+    assert_eq!(held_client.answer().expect("an answer").status(), 200);
     assert_eq!(
         program.reload(new.to_string().as_bytes()),
         "stilelead: configuration applied: nothing has changed"
@@ -136,48 +136,49 @@
 }
 
 #[test]
-fn names_that_are_gone_are_refused_plainly_while_their_requests_in_flight_are_answered() {
+fn removed_names_are_refused_with_400_while_their_requests_in_flight_are_answered() {
     let gate = Gate::start();
     let (balancer, discovery) = Balancer::with(&gate.known(), 30.0);
-    let mut held = gate.hold(balancer.address, "order");
-    let mut new = parsed(&configuration(discovery.address, &gate.known(), 30.0, 1024));
-    lanes(&mut new).retain(|lane| lane["name"] != "order");
+    let mut held_client = gate.hold(balancer.address, "order");
+    let mut new = parse_json(&configuration(discovery.address, &gate.known(), 30.0, 1024));
+    class_settings(&mut new).retain(|class| class["name"] != "order");
     new["settings"]["projects"] = json!([{"name": "zenith"}]);
     balancer.reload(&new.to_string());
     let mut client = balancer.client();
-    wait_for("the tenant is gone", || (client.ask("read", "").status() == 400).then_some(()));
+    wait_for("the tenant is no longer accepted", || (client.ask("read", "").status() == 400).then_some(()));
     client.send_for("zenith", "order", "");
     let refused = client.answer().expect("an answer");
     assert_eq!(refused.status(), 400);
     client.send_for("zenith", "read", "");
     assert_eq!(client.answer().expect("an answer").status(), 200);
     gate.open();
-    assert_eq!(held.answer().expect("an answer").status(), 200);
+    assert_eq!(held_client.answer().expect("an answer").status(), 200);
 }
 
-/// A file that cannot be used changes nothing at all, neither the settings nor discovery, and ends nothing.
+/// Guards against invalid files that are applied in part: they change neither the settings nor the address of discovery,
+/// and interrupt no request.
 #[test]
-fn a_file_that_cannot_be_used_leaves_all_of_the_old_one_in_force() {
+fn an_invalid_file_leaves_the_old_configuration_completely_in_force() {
     let gate = Gate::start();
     let (old, new) = (Discovery::start(), Discovery::start());
     let text = configuration(old.address, &gate.known(), 30.0, 1024);
     let mut program = Program::start(&text);
-    let mut held = gate.hold(program.address, "order");
+    let mut held_client = gate.hold(program.address, "order");
     let (_, _old_watch) = old.watch();
-    let mut moved = parsed(&text);
-    moved["discovery"] = json!(new.address.to_string());
-    lanes(&mut moved).push(lane("extra", "idempotent"));
-    let sound = moved.to_string();
+    let mut valid = parse_json(&text);
+    valid["discovery"] = json!(new.address.to_string());
+    class_settings(&mut valid).push(class_setting("extra", "idempotent"));
+    let valid_text = valid.to_string();
     let with = |change: fn(&mut Value)| {
-        let mut text = moved.clone();
+        let mut text = valid.clone();
         change(&mut text);
         text.to_string().into_bytes()
     };
     let files: [(Vec<u8>, &str); 8] = [
         (Vec::new(), "malformed"),
-        (sound.as_bytes()[..sound.len() / 2].to_vec(), "malformed"),
-        (sound.as_bytes()[..sound.len() - 1].to_vec(), "malformed"),
-        ([sound.as_bytes(), &b" ".repeat(9 << 20)].concat(), "is larger than"),
+        (valid_text.as_bytes()[..valid_text.len() / 2].to_vec(), "malformed"),
+        (valid_text.as_bytes()[..valid_text.len() - 1].to_vec(), "malformed"),
+        ([valid_text.as_bytes(), &b" ".repeat(9 << 20)].concat(), "is larger than"),
         (vec![0xff, 0xfe], "cannot read"),
         (with(|text| text["settings"]["balancers"] = json!(0)), "number of replicas is 0"),
         (with(|text| text["settings"]["lanes"] = json!([])), "no class"),
@@ -198,49 +199,56 @@
     std::fs::create_dir(&program.file).expect("created");
     let sent = Command::new("kill").args(["-HUP", &program.child.id().to_string()]).status().expect("sent");
     assert!(sent.success());
-    let line = program.next_line_on_configuration();
-    assert!(line.contains("the old one stays in force: cannot read"), "{line}");
+    let line = program.next_configuration_line();
+    assert!(
+        line.contains("the new configuration is rejected, the old one stays in force: cannot read"),
+        "{line}"
+    );
     std::fs::remove_dir(&program.file).expect("it is there");
-    assert!(new.next_watch().is_none(), "discovery moved without its settings");
-    // Settings and discovery move together, and the request that was there before all this is answered.
-    let line = program.reload(sound.as_bytes());
+    assert!(new.next_watch().is_none(), "the address of discovery changed without the settings");
+    // A valid file changes settings and discovery together, and the request in flight since the start is answered.
+    let line = program.reload(valid_text.as_bytes());
     let applied = format!("discovery at {}, 1 class added", new.address);
     assert_eq!(line, format!("stilelead: configuration applied: {applied}"));
     let (_, _new_watch) = new.watch();
-    assert_eq!(Client::connect(program.address).ask("extra", "").status(), 400, "it is to be asked with GET");
+    assert_eq!(
+        Client::connect(program.address).ask("extra", "").status(),
+        400,
+        "idempotent classes are requested with GET"
+    );
     assert_eq!(Client::connect(program.address).ask("read", "").status(), 200);
     gate.open();
-    assert_eq!(held.answer().expect("an answer").status(), 200);
+    assert_eq!(held_client.answer().expect("an answer").status(), 200);
 }
 
-/// Of files that follow each other at once the last one holds.
+/// If several files follow in quick succession, the last one is in force in the end.
 #[test]
 fn the_last_of_several_files_wins() {
     let gate = Gate::start();
     let (balancer, discovery) = Balancer::with(&gate.known(), 30.0);
     let old = configuration(discovery.address, &gate.known(), 30.0, 1024);
     for number in 0..20 {
-        let mut new = parsed(&old);
-        lanes(&mut new).push(lane(&format!("extra-{number}"), "at_most_once"));
+        let mut new = parse_json(&old);
+        class_settings(&mut new).push(class_setting(&format!("extra-{number}"), "at_most_once"));
         balancer.reload(&new.to_string());
     }
     let mut client = balancer.client();
-    wait_for("the last is in force", || (client.ask("extra-19", "").status() == 200).then_some(()));
+    wait_for("the last file is in force", || (client.ask("extra-19", "").status() == 200).then_some(()));
     for number in 0..19 {
         assert_eq!(client.ask(&format!("extra-{number}"), "").status(), 400);
     }
 }
 
-/// Members whose zone was not named before are told anew: the list is asked for whole, and until it has come the watch
-/// that stands is heard.
+/// Guards the zones of listed upstreams: entries with a zone that the settings did not name before have to be read again,
+/// so that the full list is requested. Until it arrives, updates of the old watch apply.
 #[test]
-fn other_names_of_zones_have_the_list_read_anew() {
+fn a_change_of_zone_names_requests_the_full_list() {
     let (near, far) = (Upstream::start(|_, _| ok("near")), Upstream::start(|_, _| ok("far")));
     let mut members =
         vec![endpoint("s-1", near.address, 0, "ready"), endpoint("s-2", far.address, 0, "ready")];
     members[1]["zone"] = json!("west");
     let discovery = Discovery::beating(LONG);
-    let mut text = parsed(&configuration(discovery.address, &members, 30.0, 1024));
+    let mut text = parse_json(&configuration(discovery.address, &members, 30.0, 1024));
     text["settings"]["tier"] = json!(1);
     let balancer = Balancer::start(&text.to_string());
     let (_, old_watch) = discovery.watch();
@@ -249,33 +257,35 @@
     let all_from = |client: &mut Client, body: &str| {
         (0..200).all(|_| client.ask("order", "").body == body.as_bytes()).then_some(())
     };
-    wait_for("all stay in the zone", || all_from(&mut client, "near"));
+    wait_for("all requests stay in the zone", || all_from(&mut client, "near"));
     text["settings"]["zones"] = json!(["west", "north"]);
     text["settings"]["zone"] = json!("west");
     balancer.reload(&text.to_string());
     let (line, new_watch) = discovery.watch();
     assert_eq!(line, "GET /catalog/members?follow=1&since=0 HTTP/1.1");
     old_watch.says(9, false, &[endpoint("s-1", near.address, 0, "draining")]);
-    wait_for("the old watch is heard", || all_from(&mut client, "far"));
+    wait_for("the update of the old watch is applied", || all_from(&mut client, "far"));
     let third = Upstream::start(|_, _| ok("third"));
     members.push(endpoint("s-3", third.address, 0, "ready"));
     members[2]["zone"] = json!("west");
     new_watch.says(10, true, &members);
-    wait_for("the whole list is heard", || (client.ask("order", "").body == b"third").then_some(()));
-    // Upstreams that seem slow may lawfully lose a call to the other zone, so one stretch without any is waited for; with
-    // the upstream still taken for one of three in the own zone there would be none in a lifetime.
-    let strays = wait_for("all stay in the new zone", || {
+    wait_for("the full list is applied", || (client.ask("order", "").body == b"third").then_some(()));
+    // The balancer may send single calls to the other zone when upstreams seem slow, so the test waits for one series of
+    // 200 calls that all stay in the zone. If the upstream still counted as one of three in the balancer's own zone, there
+    // would practically never be such a series.
+    let cross_zone_calls = wait_for("all requests stay in the new zone", || {
         let before = near.requests().len();
-        let stay =
+        let all_in_zone =
             (0..200).all(|_| [&b"far"[..], b"third"].contains(&client.ask("order", "").body.as_slice()));
-        stay.then(|| near.requests().len() - before)
+        all_in_zone.then(|| near.requests().len() - before)
     });
-    assert_eq!(strays, 0, "it is in another zone now");
+    assert_eq!(cross_zone_calls, 0, "the upstream is in another zone now");
 }
 
-/// An effect that is in force before a request has come whole holds for it: one without a key would run twice.
+/// Guards against running a request twice: if the effect of its class changes to `deduplicated` before the request has
+/// been received completely, the new effect applies, and a request without an idempotency key is refused.
 #[test]
-fn a_request_that_comes_in_across_a_change_goes_by_the_new_effect() {
+fn a_request_received_across_a_reload_follows_the_new_effect() {
     let gate = Gate::start();
     let (balancer, discovery) = Balancer::with(&gate.known(), 30.0);
     let mut client = balancer.client();
@@ -283,7 +293,7 @@
         b"POST /order HTTP/1.1\r\nHost: a\r\nX-Request-Id: r-split\r\nX-Tenant: acme\r\nContent-Length: 4\r\n\r\nha",
     );
     balancer.catches_up();
-    let mut new = parsed(&configuration(discovery.address, &gate.known(), 30.0, 1024));
+    let mut new = parse_json(&configuration(discovery.address, &gate.known(), 30.0, 1024));
     new["settings"]["lanes"][2]["effect"] = json!("deduplicated");
     new["settings"]["lanes"][2]["dedupScope"] = json!("all");
     new["settings"]["lanes"][2]["windowS"] = json!(10.0);
@@ -295,24 +305,25 @@
     assert_eq!(client.ask("order", "").status(), 200, "with a key");
 }
 
-/// Drains go by the deadlines in force: with those of the start this one would end 0.6 s after it began.
+/// Guards requests during a shutdown: the drain of the balancer lasts as long as the deadlines in force require. With the
+/// deadlines of the start this one would end 0.6 s after it began.
 #[test]
-fn a_drain_waits_as_long_as_the_new_deadlines_need() {
+fn a_drain_waits_as_long_as_the_new_deadlines_require() {
     let gate = Gate::start();
     let discovery = Discovery::start();
-    let mut text = parsed(&configuration(discovery.address, &gate.known(), 0.1, 1024));
+    let mut text = parse_json(&configuration(discovery.address, &gate.known(), 0.1, 1024));
     let with_deadline = |text: &mut Value, seconds: f64| {
-        for lane in lanes(text) {
-            (lane["onTimeS"], lane["hardLimitS"]) = (json!(seconds), json!(seconds));
+        for class in class_settings(text) {
+            (class["onTimeS"], class["hardLimitS"]) = (json!(seconds), json!(seconds));
         }
         text.to_string()
     };
     let mut balancer = Balancer::start(&with_deadline(&mut text, 0.1));
     balancer.reload(&with_deadline(&mut text, 60.0));
     balancer.catches_up();
-    let mut held = gate.hold(balancer.address, "order");
+    let mut held_client = gate.hold(balancer.address, "order");
     balancer.stop();
     std::thread::sleep(Duration::from_millis(1200));
     gate.open();
-    assert_eq!(held.answer().expect("an answer").status(), 200);
+    assert_eq!(held_client.answer().expect("an answer").status(), 200);
 }
