--- a/scale/src/cli.rs
+++ b/scale/src/cli.rs
@@ -11,7 +11,7 @@
 use tracing::{error, info};
 use tracing_subscriber::EnvFilter;
 
-use crate::cover::{Cover, CoverError};
+use crate::cover::{CoverageError, CoverageModel};
 use crate::interrupt::Interrupt;
 use crate::process::{ProcessError, find_balancer_program};
 use crate::run::{Options, run};
@@ -22,11 +22,11 @@
 use crate::table::{self, Table};
 
 /// The run is whole.
-const WHOLE: u8 = 0;
+const EXIT_COMPLETE: u8 = 0;
 /// The run is partial or failed.
-const PARTIAL: u8 = 1;
+const EXIT_PARTIAL: u8 = 1;
 /// A scenario or an argument makes no sense; clap ends with the same code.
-const NO_SENSE: u8 = 2;
+const EXIT_INVALID_INPUT: u8 = 2;
 
 /// Models a large fleet of balancers on one machine and measures it.
 #[derive(Debug, Parser)]
@@ -53,7 +53,7 @@
     /// Runs a scenario and prints its figures.
     Run {
         #[command(flatten)]
-        source: Source,
+        source: ScenarioArgs,
         /// Seed of all chance, before the scenario's.
         #[arg(long)]
         seed: Option<u64>,
@@ -94,13 +94,13 @@
     /// Says whether a scenario makes sense and this machine can carry it, and starts nothing.
     Check {
         #[command(flatten)]
-        source: Source,
+        source: ScenarioArgs,
     },
 }
 
 /// A scenario and what goes before it.
 #[derive(Debug, Args)]
-struct Source {
+struct ScenarioArgs {
     /// The scenario, in TOML.
     scenario: PathBuf,
     /// Puts a value before the file's, by its dotted key: fleet.hollow=200, fault.0.at_s=3.
@@ -120,32 +120,34 @@
     #[error(transparent)]
     Process(#[from] ProcessError),
     #[error(transparent)]
-    Cover(#[from] CoverError),
+    Cover(#[from] CoverageError),
     #[error("the runtime does not start: {0}")]
     Runtime(#[source] io::Error),
     #[error("--report {}: cannot be written: {cause}", file.display())]
-    Report { file: PathBuf, cause: io::Error },
+    ReportFile { file: PathBuf, cause: io::Error },
     #[error("{}: cannot be written: {cause}", file.display())]
     Write { file: PathBuf, cause: io::Error },
     #[error("standard output cannot be written: {0}")]
-    Output(#[source] io::Error),
+    Stdout(#[source] io::Error),
     #[error("the report cannot be put into JSON: {0}")]
     Json(#[from] serde_json::Error),
 }
 
 impl CommandError {
-    fn code(&self) -> u8 {
+    fn exit_code(&self) -> u8 {
         match self {
-            Self::Scenario(_) | Self::Slope(_) | Self::Cover(_) | Self::Report { .. } => NO_SENSE,
-            _ => PARTIAL,
+            Self::Scenario(_) | Self::Slope(_) | Self::Cover(_) | Self::ReportFile { .. } => {
+                EXIT_INVALID_INPUT
+            }
+            _ => EXIT_PARTIAL,
         }
     }
 }
 
-impl Source {
+impl ScenarioArgs {
     fn load(&self) -> Result<Scenario, CommandError> {
         let scenario = load(&self.scenario, &self.overrides)?;
-        check_machine(&self.scenario, &scenario, &Machine::look()?)?;
+        check_machine(&self.scenario, &scenario, &Machine::detect()?)?;
         Ok(scenario)
     }
 }
@@ -155,11 +157,11 @@
 #[must_use]
 pub fn main() -> ExitCode {
     let cli = Cli::parse();
-    start_logs(cli.log_format);
-    let code = cli.command.execute();
-    ExitCode::from(code.unwrap_or_else(|error| {
+    init_logging(cli.log_format);
+    let exit_code = cli.command.execute();
+    ExitCode::from(exit_code.unwrap_or_else(|error| {
         error!("{error}");
-        error.code()
+        error.exit_code()
     }))
 }
 
@@ -169,7 +171,7 @@
             Self::Check { source } => {
                 let scenario = source.load()?;
                 info!(scenario = scenario.name, "makes sense");
-                Ok(WHOLE)
+                Ok(EXIT_COMPLETE)
             }
             Self::Run { source, seed, report } => {
                 let mut scenario = source.load()?;
@@ -177,10 +179,10 @@
                 run_scenario(&scenario, report.as_deref())
             }
             Self::Cover { copies, old_count, endpoints, calls, seed } => {
-                let cover = Cover { copies, old_count, endpoints, calls_per_copy: calls };
-                let spread = serde_json::to_string(&cover.measure(seed)?)?;
-                writeln!(io::stdout(), "{spread}").map_err(CommandError::Output)?;
-                Ok(WHOLE)
+                let model = CoverageModel { copies, old_count, endpoints, calls_per_copy: calls };
+                let distribution = serde_json::to_string(&model.measure(seed)?)?;
+                writeln!(io::stdout(), "{distribution}").map_err(CommandError::Stdout)?;
+                Ok(EXIT_COMPLETE)
             }
             Self::Slopes { only, seed, report } => {
                 let kinds = if only.is_empty() { SlopeKind::value_variants().to_vec() } else { only };
@@ -191,61 +193,61 @@
 }
 
 fn run_scenario(scenario: &Scenario, file: Option<&Path>) -> Result<u8, CommandError> {
-    open_report(file)?;
+    check_report_writable(file)?;
     let options = Options { program: find_balancer_program()?, progress: true };
     let report = block_on(async {
         let interrupt = Interrupt::on_signals().map_err(CommandError::Runtime)?;
         Ok(run(scenario, &options, interrupt.interrupted()).await)
     })?;
-    finish(&table::of_report(&report), &report, file)?;
-    Ok(if report.partial { PARTIAL } else { WHOLE })
+    write_results(&table::report_table(&report), &report, file)?;
+    Ok(if report.partial { EXIT_PARTIAL } else { EXIT_COMPLETE })
 }
 
 fn run_slopes(kinds: &[SlopeKind], seed: u64, file: Option<&Path>) -> Result<u8, CommandError> {
-    open_report(file)?;
+    check_report_writable(file)?;
     let options = Options { program: find_balancer_program()?, progress: true };
     let report = block_on(async {
         let interrupt = Interrupt::on_signals().map_err(CommandError::Runtime)?;
         Ok(slopes::measure(kinds, seed, &options, &interrupt).await?)
     })?;
-    finish(&slopes::table(&report), &report, file)?;
-    Ok(if report.partial { PARTIAL } else { WHOLE })
+    write_results(&slopes::slopes_table(&report), &report, file)?;
+    Ok(if report.partial { EXIT_PARTIAL } else { EXIT_COMPLETE })
 }
 
 /// Makes sure that the report can be written before anything is run for it.
-fn open_report(file: Option<&Path>) -> Result<(), CommandError> {
+fn check_report_writable(file: Option<&Path>) -> Result<(), CommandError> {
     let Some(file) = file else { return Ok(()) };
-    let opened = fs::OpenOptions::new().create(true).append(true).open(file);
-    opened.map(drop).map_err(|cause| CommandError::Report { file: file.into(), cause })
+    let open_result = fs::OpenOptions::new().create(true).append(true).open(file);
+    open_result.map(drop).map_err(|cause| CommandError::ReportFile { file: file.into(), cause })
 }
 
 fn block_on<T>(work: impl Future<Output = Result<T, CommandError>>) -> Result<T, CommandError> {
     let runtime = Builder::new_multi_thread().enable_all().build().map_err(CommandError::Runtime)?;
-    let done = runtime.block_on(work);
+    let result = runtime.block_on(work);
     runtime.shutdown_background();
-    done
+    result
 }
 
 /// Prints the table and writes the report. Both are tried, whatever becomes of the other.
-fn finish(table: &Table, report: &impl Serialize, file: Option<&Path>) -> Result<(), CommandError> {
-    let printed = write!(io::stdout(), "{table}").map_err(CommandError::Output);
+fn write_results(table: &Table, report: &impl Serialize, file: Option<&Path>) -> Result<(), CommandError> {
+    let print_result = write!(io::stdout(), "{table}").map_err(CommandError::Stdout);
     if let Some(file) = file {
         let mut text = serde_json::to_vec_pretty(report)?;
         text.push(b'\n');
         fs::write(file, text).map_err(|cause| CommandError::Write { file: file.into(), cause })?;
     }
-    printed
+    print_result
 }
 
-fn start_logs(format: LogFormat) {
-    let level = EnvFilter::try_from_default_env().unwrap_or_else(|_| EnvFilter::new("info"));
-    let logs = tracing_subscriber::fmt()
-        .with_env_filter(level)
+fn init_logging(format: LogFormat) {
+    let filter = EnvFilter::try_from_default_env().unwrap_or_else(|_| EnvFilter::new("info"));
+    let subscriber = tracing_subscriber::fmt()
+        .with_env_filter(filter)
         .with_ansi(io::stderr().is_terminal())
         .with_writer(io::stderr)
         .with_target(false);
     match format {
-        LogFormat::Text => logs.init(),
-        LogFormat::Json => logs.json().init(),
+        LogFormat::Text => subscriber.init(),
+        LogFormat::Json => subscriber.json().init(),
     }
 }
--- a/scale/src/cover.rs
+++ b/scale/src/cover.rs
@@ -13,15 +13,15 @@
 use stilelead_decision::{Action, Balancer, Event};
 
 /// Time between two calls of a copy.
-const BETWEEN_CALLS: Duration = Duration::from_millis(20);
+const CALL_INTERVAL: Duration = Duration::from_millis(20);
 /// Time that every call takes.
-const CALL_TAKES: Duration = Duration::from_millis(5);
+const CALL_DURATION: Duration = Duration::from_millis(5);
 /// When the first copy starts, on the clock of the decisions.
-const STARTS_AT: Duration = Duration::from_secs(3600);
+const START_TIME: Duration = Duration::from_secs(3600);
 
 /// What each copy of a service has been told about the copies.
 #[derive(Debug, Clone, Copy)]
-pub struct Cover {
+pub struct CoverageModel {
     /// Copies that send.
     pub copies: u32,
     /// The count of copies that those numbered below it were started with; the others know the true one.
@@ -34,57 +34,60 @@
 
 /// Calls over the endpoints.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize)]
-pub struct Spread {
+pub struct CallDistribution {
     /// Most calls to one endpoint, over the mean.
-    pub most_over_mean: f64,
+    #[serde(rename = "most_over_mean")]
+    pub max_over_mean: f64,
     /// Least calls to one endpoint, over the mean.
-    pub least_over_mean: f64,
+    #[serde(rename = "least_over_mean")]
+    pub min_over_mean: f64,
     /// Endpoints that no copy sends to.
-    pub bare: usize,
+    #[serde(rename = "bare")]
+    pub endpoints_without_calls: usize,
 }
 
 /// Why the cover could not be measured.
 #[derive(Debug, thiserror::Error)]
-pub enum CoverError {
+pub enum CoverageError {
     /// A size is 0.
     #[error("copies, endpoints and calls must be above 0")]
-    Empty,
+    ZeroSize,
     /// The decisions refuse the settings.
     #[error("the decisions refuse the settings: {0}")]
     Settings(#[from] SettingsError),
 }
 
-impl Cover {
+impl CoverageModel {
     /// Sends the calls and counts them by endpoint; `seed` decides the draws.
     ///
     /// # Errors
     /// A size is 0 or out of the range of the settings.
-    pub fn measure(&self, seed: u64) -> Result<Spread, CoverError> {
+    pub fn measure(&self, seed: u64) -> Result<CallDistribution, CoverageError> {
         if self.copies == 0 || self.endpoints == 0 || self.calls_per_copy == 0 {
-            return Err(CoverError::Empty);
+            return Err(CoverageError::ZeroSize);
         }
-        let mut sent = vec![0_u64; self.endpoints as usize];
+        let mut calls_by_endpoint = vec![0_u64; self.endpoints as usize];
         for index in 0..self.copies {
-            let knows = if index < self.old_count { self.old_count } else { self.copies };
-            let mut copy = started(index, knows, self.endpoints, seed)?;
+            let known_copies = if index < self.old_count { self.old_count } else { self.copies };
+            let mut copy = start_balancer(index, known_copies, self.endpoints, seed)?;
             for number in 0..self.calls_per_copy {
-                if let Some(endpoint) = call(&mut copy, number) {
-                    sent[endpoint as usize] += 1;
+                if let Some(endpoint) = answered_call(&mut copy, number) {
+                    calls_by_endpoint[endpoint as usize] += 1;
                 }
             }
         }
-        let mean = sent.iter().sum::<u64>() as f64 / f64::from(self.endpoints);
+        let mean = calls_by_endpoint.iter().sum::<u64>() as f64 / f64::from(self.endpoints);
         let over_mean = |calls: Option<&u64>| calls.map_or(0.0, |&calls| calls as f64 / mean.max(1.0));
-        Ok(Spread {
-            most_over_mean: over_mean(sent.iter().max()),
-            least_over_mean: over_mean(sent.iter().min()),
-            bare: sent.iter().filter(|&&calls| calls == 0).count(),
+        Ok(CallDistribution {
+            max_over_mean: over_mean(calls_by_endpoint.iter().max()),
+            min_over_mean: over_mean(calls_by_endpoint.iter().min()),
+            endpoints_without_calls: calls_by_endpoint.iter().filter(|&&calls| calls == 0).count(),
         })
     }
 }
 
-/// A copy that knows all endpoints.
-fn started(index: u32, copies: u32, endpoints: u32, seed: u64) -> Result<Balancer, SettingsError> {
+/// A copy that known_copies all endpoints.
+fn start_balancer(index: u32, copies: u32, endpoints: u32, seed: u64) -> Result<Balancer, SettingsError> {
     let class = Class {
         latency_target: Duration::from_millis(500),
         deadline: Duration::from_secs(2),
@@ -94,14 +97,14 @@
     let settings =
         Settings { replica_index: index, replica_count: copies, ..Settings::single_zone(vec![class]) };
     let mut copy = Balancer::new(settings, seed.wrapping_add(u64::from(index)))?;
-    let members = (0..endpoints).map(member).collect();
+    let members = (0..endpoints).map(ready_member).collect();
     let mut actions = Vec::new();
-    copy.handle(STARTS_AT, Event::Started, &mut actions);
-    copy.handle(STARTS_AT, Event::Discovery(DiscoveryUpdate::Full(members)), &mut actions);
+    copy.handle(START_TIME, Event::Started, &mut actions);
+    copy.handle(START_TIME, Event::Discovery(DiscoveryUpdate::Full(members)), &mut actions);
     Ok(copy)
 }
 
-fn member(id: u32) -> Member {
+fn ready_member(id: u32) -> Member {
     Member {
         id: UpstreamId(id),
         zone: Some(ZoneId(0)),
@@ -114,8 +117,8 @@
 }
 
 /// Sends one call and answers it; the endpoint that it went to.
-fn call(copy: &mut Balancer, number: u32) -> Option<u32> {
-    let now = STARTS_AT + BETWEEN_CALLS * number;
+fn answered_call(copy: &mut Balancer, number: u32) -> Option<u32> {
+    let now = START_TIME + CALL_INTERVAL * number;
     let id = RequestId(u64::from(number));
     let request = Request {
         id,
@@ -132,14 +135,14 @@
         Action::Send { upstream, .. } => Some(upstream.0),
         _ => None,
     })?;
-    let answer = AttemptEnded {
+    let attempt_ended = AttemptEnded {
         request: id,
         attempt: AttemptNumber(0),
         outcome: Outcome::Good,
-        duration: CALL_TAKES,
+        duration: CALL_DURATION,
         request_ended: true,
         load: None,
     };
-    copy.handle(now + CALL_TAKES, Event::AttemptEnded(answer), &mut actions);
+    copy.handle(now + CALL_DURATION, Event::AttemptEnded(attempt_ended), &mut actions);
     Some(endpoint)
 }
--- a/scale/src/fit.rs
+++ b/scale/src/fit.rs
@@ -1,4 +1,4 @@
-//! Straight lines through measured points, by least squares.
+//! Straight lines through measured points, by least sum_of_squares.
 
 use serde::Serialize;
 
@@ -31,22 +31,22 @@
         let count = points.len() as f64;
         let mean = |value: fn(&Point) -> f64| points.iter().map(value).sum::<f64>() / count;
         let (mean_x, mean_y) = (mean(|point| point.x), mean(|point| point.y));
-        let spread: f64 = points.iter().map(|point| (point.x - mean_x).powi(2)).sum();
-        let common: f64 = points.iter().map(|point| (point.x - mean_x) * (point.y - mean_y)).sum();
-        let slope = common / spread;
+        let sum_xx: f64 = points.iter().map(|point| (point.x - mean_x).powi(2)).sum();
+        let sum_xy: f64 = points.iter().map(|point| (point.x - mean_x) * (point.y - mean_y)).sum();
+        let slope = sum_xy / sum_xx;
         if !slope.is_finite() {
             return None;
         }
         let intercept = mean_y - slope * mean_x;
-        let distance = |point: &Point| (point.y - intercept - slope * point.x).abs();
-        let squares: f64 = points.iter().map(|point| distance(point).powi(2)).sum();
-        let relative = points.iter().map(|point| distance(point) / point.y.abs()).fold(0.0, f64::max);
-        let told = points.iter().all(|point| point.y != 0.0);
+        let residual = |point: &Point| (point.y - intercept - slope * point.x).abs();
+        let sum_of_squares: f64 = points.iter().map(|point| residual(point).powi(2)).sum();
+        let max_relative = points.iter().map(|point| residual(point) / point.y.abs()).fold(0.0, f64::max);
+        let no_zero_value = points.iter().all(|point| point.y != 0.0);
         Some(Self {
             slope,
             intercept,
-            residual_rms: (squares / count).sqrt(),
-            residual_relative: told.then_some(relative),
+            residual_rms: (sum_of_squares / count).sqrt(),
+            residual_relative: no_zero_value.then_some(max_relative),
         })
     }
 }
--- a/scale/src/plan.rs
+++ b/scale/src/plan.rs
@@ -11,13 +11,13 @@
 use crate::topology::{CopyId, NodeId, RegionId, ServiceId, Topology};
 
 /// The part of the seed's random numbers from which faults are drawn.
-const STREAM_FAULTS: u64 = 1;
+const FAULT_STREAM: u64 = 1;
 /// The part from which changes of lists are drawn.
-const STREAM_LISTS: u64 = 2;
+const LIST_STREAM: u64 = 2;
 /// A node's weight is drawn between these.
-const WEIGHTS: std::ops::Range<f64> = 0.8..1.25;
+const WEIGHT_RANGE: std::ops::Range<f64> = 0.8..1.25;
 /// Share of list changes that meet padding entries, where there are any.
-const PADDING_SHARE: f64 = 0.5;
+const PADDING_CHANGE_SHARE: f64 = 0.5;
 
 /// An action at its time.
 #[derive(Debug, Clone, PartialEq)]
@@ -86,7 +86,7 @@
     /// Draws the plan of a scenario from its seed.
     #[must_use]
     pub fn draw(scenario: &Scenario, topology: &Topology) -> Self {
-        let mut random = stream(scenario.seed, STREAM_FAULTS);
+        let mut random = random_stream(scenario.seed, FAULT_STREAM);
         let mut steps = Vec::new();
         for fault in &scenario.faults {
             steps.extend(faults::steps(fault, topology, &mut random));
@@ -102,33 +102,33 @@
 /// Changes of lists at random times, at the rate that the scenario says in the mean.
 fn list_changes(scenario: &Scenario, topology: &Topology) -> Vec<Step> {
     let rate = scenario.changes.lists_per_s;
-    let mut random = stream(scenario.seed, STREAM_LISTS);
+    let mut random = random_stream(scenario.seed, LIST_STREAM);
     let mut steps = Vec::new();
     if rate <= 0.0 || topology.nodes.is_empty() {
         return steps;
     }
     let mut at_s = 0.0;
     loop {
-        let part: f64 = random.random();
-        at_s -= (1.0 - part).ln() / rate;
+        let uniform: f64 = random.random();
+        at_s -= (1.0 - uniform).ln() / rate;
         if at_s >= scenario.duration_s {
             return steps;
         }
-        let action = list_change(scenario.control.padding_entries, topology, &mut random);
+        let action = random_list_change(scenario.control.padding_entries, topology, &mut random);
         steps.push(Step { at: seconds(at_s), action });
     }
 }
 
-fn list_change(padding: u32, topology: &Topology, random: &mut ChaCha8Rng) -> Action {
-    let weight = random.random_range(WEIGHTS);
-    if padding > 0 && random.random_bool(PADDING_SHARE) {
+fn random_list_change(padding: u32, topology: &Topology, random: &mut ChaCha8Rng) -> Action {
+    let weight = random.random_range(WEIGHT_RANGE);
+    if padding > 0 && random.random_bool(PADDING_CHANGE_SHARE) {
         let service = ServiceId(random.random_range(0..topology.services.len()));
         return Action::Padding(service, random.random_range(0..padding), weight);
     }
     Action::Weight(NodeId(random.random_range(0..topology.nodes.len())), weight)
 }
 
-fn stream(seed: u64, number: u64) -> ChaCha8Rng {
+fn random_stream(seed: u64, number: u64) -> ChaCha8Rng {
     let mut random = ChaCha8Rng::seed_from_u64(seed);
     random.set_stream(number);
     random
--- a/scale/src/report/calls.rs
+++ b/scale/src/report/calls.rs
@@ -1,4 +1,4 @@
-//! Calls sorted by how they ended, by depth and by time.
+//! Calls summary by how they ended, by depth and by time.
 
 use std::collections::BTreeMap;
 use std::time::Instant;
@@ -24,10 +24,11 @@
     /// Taken and never answered.
     pub lost: u64,
     /// The client had left.
-    pub left: u64,
+    #[serde(rename = "left")]
+    pub client_left: u64,
 }
 
-/// Calls by the second in which they were due.
+/// Calls by the second in which they were arrival.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize)]
 pub struct Series {
     /// Served.
@@ -39,48 +40,49 @@
 }
 
 /// Calls put in order for the report.
-pub(super) struct Calls {
+pub(super) struct CallSummary {
     /// All of them.
     pub(super) all: Counts,
     /// By carrier, real first.
     pub(super) by_carrier: [Counts; 2],
     /// Served calls through hollow balancers by depth.
-    pub(super) hollow_us: BTreeMap<u32, DurationHistogram>,
+    pub(super) hollow_latency_us: BTreeMap<u32, DurationHistogram>,
     /// The share served over time.
-    pub(super) share: ServedShare,
+    pub(super) served_share: ServedShare,
     /// By second.
     pub(super) series: Series,
 }
 
-impl Calls {
+impl CallSummary {
     /// Sorts the calls of a run.
     pub(super) fn of(run: &Run<'_>, calls: &[Call]) -> Self {
-        let seconds = run.played_s.round().max(1.0) as usize;
-        let empty = vec![0; seconds];
-        let mut sorted = Self {
+        let duration_s = run.load_duration_s.round().max(1.0) as usize;
+        let zeros = vec![0; duration_s];
+        let mut summary = Self {
             all: Counts::default(),
             by_carrier: [Counts::default(); 2],
-            hollow_us: BTreeMap::new(),
-            share: ServedShare::over(run.played_s, run.scenario.load.deadline_s),
-            series: Series { served: empty.clone(), refused: empty.clone(), failed: empty },
+            hollow_latency_us: BTreeMap::new(),
+            served_share: ServedShare::new(run.load_duration_s, run.scenario.load.deadline_s),
+            series: Series { served: zeros.clone(), refused: zeros.clone(), failed: zeros },
         };
         for call in calls {
-            sorted.add(run.start, call);
+            summary.add(run.start, call);
         }
-        sorted
+        summary
     }
 
     fn add(&mut self, start: Option<Instant>, call: &Call) {
         self.all.add(call.end);
         self.by_carrier[carrier_index(call.carrier)].add(call.end);
         if call.carrier == Carrier::Hollow && call.end == CallEnd::Served {
-            self.hollow_us.entry(call.hops).or_default().add(call.latency);
+            self.hollow_latency_us.entry(call.hops).or_default().add(call.latency);
         }
-        let due = call.ended_at.checked_sub(call.latency);
-        let due_s =
-            due.zip(start).map_or(0.0, |(due, start)| due.saturating_duration_since(start).as_secs_f64());
+        let arrival = call.ended_at.checked_sub(call.latency);
+        let arrival_s = arrival
+            .zip(start)
+            .map_or(0.0, |(arrival, start)| arrival.saturating_duration_since(start).as_secs_f64());
         if call.end != CallEnd::ClientLeft {
-            self.share.add(due_s, call.end == CallEnd::Served);
+            self.served_share.add(arrival_s, call.end == CallEnd::Served);
         }
         let series = match call.end {
             CallEnd::Served => &mut self.series.served,
@@ -88,8 +90,8 @@
             CallEnd::Failed | CallEnd::Lost => &mut self.series.failed,
             CallEnd::ClientLeft => return,
         };
-        let last = series.len() - 1;
-        series[(due_s as usize).min(last)] += 1;
+        let last_second = series.len() - 1;
+        series[(arrival_s as usize).min(last_second)] += 1;
     }
 }
 
@@ -101,7 +103,7 @@
             CallEnd::Refused => &mut self.refused,
             CallEnd::Failed => &mut self.failed,
             CallEnd::Lost => &mut self.lost,
-            CallEnd::ClientLeft => &mut self.left,
+            CallEnd::ClientLeft => &mut self.client_left,
         } += 1;
     }
 }
--- a/scale/src/report/figures.rs
+++ b/scale/src/report/figures.rs
@@ -24,9 +24,9 @@
 impl Latency {
     /// Of all times added; `None` of nothing.
     #[must_use]
-    pub fn of(times: &DurationHistogram) -> Option<Self> {
-        let (p50, p99) = (times.percentile(50.0)?, times.percentile(99.0)?);
-        Some(Self { p50, p99, p999: times.percentile(99.9)?, count: times.count() })
+    pub fn of(latencies: &DurationHistogram) -> Option<Self> {
+        let (p50, p99) = (latencies.percentile(50.0)?, latencies.percentile(99.0)?);
+        Some(Self { p50, p99, p999: latencies.percentile(99.9)?, count: latencies.count() })
     }
 }
 
@@ -47,11 +47,11 @@
     #[must_use]
     pub fn of(through: Option<Latency>, direct: Option<Latency>) -> Option<Self> {
         let (through, direct) = (through?, direct?);
-        let less = |through: u64, direct: u64| through.cast_signed() - direct.cast_signed();
+        let difference = |through: u64, direct: u64| through.cast_signed() - direct.cast_signed();
         Some(Self {
-            p50: less(through.p50, direct.p50),
-            p99: less(through.p99, direct.p99),
-            p999: less(through.p999, direct.p999),
+            p50: difference(through.p50, direct.p50),
+            p99: difference(through.p99, direct.p99),
+            p999: difference(through.p999, direct.p999),
         })
     }
 }
@@ -72,9 +72,14 @@
 impl Delay {
     /// Of all times added; `None` of nothing.
     #[must_use]
-    pub fn of(times: &DurationHistogram) -> Option<Self> {
-        let seconds = |percent| times.percentile(percent).map(|us| us as f64 / US_PER_S);
-        Some(Self { p50: seconds(50.0)?, p99: seconds(99.0)?, max: seconds(100.0)?, count: times.count() })
+    pub fn of(durations: &DurationHistogram) -> Option<Self> {
+        let seconds = |percent| durations.percentile(percent).map(|us| us as f64 / US_PER_S);
+        Some(Self {
+            p50: seconds(50.0)?,
+            p99: seconds(99.0)?,
+            max: seconds(100.0)?,
+            count: durations.count(),
+        })
     }
 }
 
--- a/scale/src/report/recovery.rs
+++ b/scale/src/report/recovery.rs
@@ -7,9 +7,9 @@
 /// Steps into which a second is cut.
 const STEPS_PER_S: usize = 10;
 /// Seconds for which the share must hold.
-const HOLD_S: usize = 2;
+const MIN_RECOVERED_S: usize = 2;
 /// How far below its value before the fault the share may be.
-const TOLERANCE: f64 = 0.02;
+const SHARE_TOLERANCE: f64 = 0.02;
 
 /// When a fault began and ended, in seconds from the start of the load.
 #[derive(Debug, Clone, Copy, PartialEq)]
@@ -31,7 +31,7 @@
     pub at_s: f64,
     /// Its end.
     pub ends_s: f64,
-    /// Share of calls served of those due in a second before, early enough to have ended when it began.
+    /// Share of calls served of those due in a second before, early is_recovered to have ended when it began.
     pub share_before: Option<f64>,
     /// Lowest share of a second from its start until the share was back, or until the end of the load.
     pub lowest_share: Option<f64>,
@@ -44,7 +44,7 @@
 pub struct ServedShare {
     steps: Vec<Step>,
     /// A call has ended so many steps after it was due.
-    call_ends: usize,
+    deadline_steps: usize,
 }
 
 #[derive(Debug, Clone, Copy, Default)]
@@ -56,14 +56,17 @@
 impl ServedShare {
     /// Of a load of so many seconds, whose clients wait for `deadline_s`.
     #[must_use]
-    pub fn over(duration_s: f64, deadline_s: f64) -> Self {
-        Self { steps: vec![Step::default(); step(duration_s).max(1)], call_ends: step(deadline_s) }
+    pub fn new(duration_s: f64, deadline_s: f64) -> Self {
+        Self {
+            steps: vec![Step::default(); step_index(duration_s).max(1)],
+            deadline_steps: step_index(deadline_s),
+        }
     }
 
     /// Adds a call that was due then; calls whose clients left are not to be added.
-    pub fn add(&mut self, due_s: f64, served: bool) {
-        let last = self.steps.len() - 1;
-        let step = &mut self.steps[step(due_s).min(last)];
+    pub fn add(&mut self, arrival_s: f64, served: bool) {
+        let last_step = self.steps.len() - 1;
+        let step = &mut self.steps[step_index(arrival_s).min(last_step)];
         step.calls += 1;
         step.served += u64::from(served);
     }
@@ -71,30 +74,35 @@
     /// What a fault did.
     #[must_use]
     pub fn recovery(&self, fault: FaultSpan) -> Recovery {
-        let before = step(fault.at_s).saturating_sub(self.call_ends).max(STEPS_PER_S);
-        let share_before = self.second_until(before);
-        let back = share_before.and_then(|before| self.back(step(fault.ends_s), before - TOLERANCE));
-        let until = back.unwrap_or(self.steps.len());
-        let shares = (step(fault.at_s) + 1..=until).filter_map(|end| self.second_until(end));
+        let steps_before = step_index(fault.at_s).saturating_sub(self.deadline_steps).max(STEPS_PER_S);
+        let share_before = self.share_in_second_before(steps_before);
+        let recovered = share_before.and_then(|share_before| {
+            self.first_recovered_step(step_index(fault.ends_s), share_before - SHARE_TOLERANCE)
+        });
+        let last_step = recovered.unwrap_or(self.steps.len());
+        let shares =
+            (step_index(fault.at_s) + 1..=last_step).filter_map(|end| self.share_in_second_before(end));
         Recovery {
             kind: fault.kind,
             at_s: fault.at_s,
             ends_s: fault.ends_s,
             share_before,
             lowest_share: shares.reduce(f64::min),
-            recovery_s: back.map(|end| (end as f64 / STEPS_PER_S as f64 - fault.ends_s).max(0.0)),
+            recovery_s: recovered.map(|end| (end as f64 / STEPS_PER_S as f64 - fault.ends_s).max(0.0)),
         }
     }
 
     /// The first step from `from` on at whose end the share is back and stays so for the time that it must.
-    fn back(&self, from: usize, least: f64) -> Option<usize> {
-        let hold = HOLD_S * STEPS_PER_S;
-        let enough = |end: usize| self.second_until(end).is_some_and(|share| share >= least);
-        (from..=self.steps.len().checked_sub(hold)?).find(|start| (*start..=start + hold).all(enough))
+    fn first_recovered_step(&self, from: usize, min_share: f64) -> Option<usize> {
+        let min_steps = MIN_RECOVERED_S * STEPS_PER_S;
+        let is_recovered =
+            |end: usize| self.share_in_second_before(end).is_some_and(|share| share >= min_share);
+        (from..=self.steps.len().checked_sub(min_steps)?)
+            .find(|start| (*start..=start + min_steps).all(is_recovered))
     }
 
     /// The share over the second that ends with a step; `None` without calls in it.
-    fn second_until(&self, end: usize) -> Option<f64> {
+    fn share_in_second_before(&self, end: usize) -> Option<f64> {
         let steps = self.steps.get(end.saturating_sub(STEPS_PER_S)..end)?;
         let calls: u64 = steps.iter().map(|step| step.calls).sum();
         let served: u64 = steps.iter().map(|step| step.served).sum();
@@ -103,6 +111,6 @@
 }
 
 /// The step in which a time falls.
-fn step(seconds: f64) -> usize {
+fn step_index(seconds: f64) -> usize {
     (seconds.max(0.0) * STEPS_PER_S as f64).round() as usize
 }
--- a/scale/src/run.rs
+++ b/scale/src/run.rs
@@ -30,12 +30,12 @@
 mod watch;
 
 use fleet::Fleet;
-use perform::Performer;
+use perform::ActionExecutor;
 
 /// Time after the last deadline in which answers and lists still arrive.
-const SETTLE: Duration = Duration::from_millis(1500);
+const SETTLE_TIME: Duration = Duration::from_millis(1500);
 /// Time after that which the load may take to end.
-const LOAD_ENDS_WITHIN: Duration = Duration::from_secs(10);
+const LOAD_END_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// What a run needs beside its scenario.
 #[derive(Debug, Clone)]
@@ -63,20 +63,20 @@
     Hollow(#[from] HollowError),
     /// There is no folder for the balancers' files.
     #[error("no folder for the balancers' files: {0}")]
-    Directory(#[source] io::Error),
+    TempDir(#[source] io::Error),
     /// Copies did not become ready and hear from control in time.
-    #[error("{ready} of {of} copies were ready and watched their list within {within_s} s")]
+    #[error("{ready} of {total} copies were ready and watched their list within {within_s} s")]
     NotReady {
         /// Copies that were ready.
         ready: usize,
         /// Copies in all.
-        of: usize,
+        total: usize,
         /// The time that they had, in seconds.
         within_s: f64,
     },
     /// A real balancer ended that no fault of the scenario had ended.
     #[error("{name} ended: {status}; its last lines: {log}")]
-    Ended {
+    BalancerExited {
         /// Its copy's name.
         name: String,
         /// How.
@@ -86,10 +86,10 @@
     },
     /// The load did not end some time after its last deadline.
     #[error("the load did not end")]
-    LoadStuck,
+    LoadNotEnded,
     /// A part of the tool panicked.
     #[error("a part of the tool failed: {0}")]
-    Part(#[from] tokio::task::JoinError),
+    TaskFailed(#[from] tokio::task::JoinError),
     /// The user ended the run.
     #[error("ended by {0}")]
     Interrupted(&'static str),
@@ -103,12 +103,12 @@
     interrupt: impl Future<Output = &'static str>,
 ) -> Report {
     let mut session = Session::new(scenario);
-    let played = tokio::select! {
+    let load_result = tokio::select! {
         signal = interrupt => Err(RunError::Interrupted(signal)),
-        played = session.play(options) => played,
+        result = session.run_load(options) => result,
     };
-    let ended = session.end().await;
-    let error = played.err().or(ended.err());
+    let stop_result = session.stop().await;
+    let error = load_result.err().or(stop_result.err());
     if let Some(error) = &error {
         warn!("{error}");
     }
@@ -129,13 +129,13 @@
 /// The load, once it has begun.
 struct Load {
     start: Instant,
-    played_s: Option<f64>,
+    load_duration_s: Option<f64>,
     control_before: Vec<ControlUsage>,
-    control_used: Vec<ControlUsage>,
-    tool: Sampler,
-    tool_used: Option<ProcessUsage>,
+    control_usage: Vec<ControlUsage>,
+    tool_sampler: Sampler,
+    tool_usage: Option<ProcessUsage>,
     hollow_core_s: f64,
-    lists_behind: Option<usize>,
+    balancers_with_stale_list: Option<usize>,
 }
 
 impl Session {
@@ -152,40 +152,41 @@
         }
     }
 
-    async fn play(&mut self, options: &Options) -> Result<(), RunError> {
-        let started = Fleet::start(&self.scenario, &self.topology, &self.record, &options.program).await?;
-        let fleet = self.fleet.insert(started);
-        fleet.ready(seconds(self.scenario.ready_within_s)).await?;
+    async fn run_load(&mut self, options: &Options) -> Result<(), RunError> {
+        let started_fleet =
+            Fleet::start(&self.scenario, &self.topology, &self.record, &options.program).await?;
+        let fleet = self.fleet.insert(started_fleet);
+        fleet.wait_until_ready(seconds(self.scenario.ready_within_s)).await?;
         info!(real = self.scenario.fleet.real, hollow = self.scenario.fleet.hollow, "ready");
         let start = Instant::now();
         let load = self.load.insert(Load {
             start,
-            played_s: None,
+            load_duration_s: None,
             control_before: fleet.control_usage(),
-            control_used: Vec::new(),
-            tool: Sampler::new(std::process::id()),
-            tool_used: None,
+            control_usage: Vec::new(),
+            tool_sampler: Sampler::new(std::process::id()),
+            tool_usage: None,
             hollow_core_s: 0.0,
-            lists_behind: None,
+            balancers_with_stale_list: None,
         });
         let fleet = &*fleet;
-        let ends = start + seconds(self.scenario.duration_s);
+        let load_end = start + seconds(self.scenario.duration_s);
         let bar = watch::progress_bar(options.progress, self.scenario.duration_s);
-        let ended = tokio::select! {
-            ended = watch::watch(fleet, &self.record, &bar, ends) => Err(ended),
-            played = play_load(fleet, &self.scenario, &self.topology, &self.record, &self.plan, load) => played,
+        let result = tokio::select! {
+            error = watch::monitor_balancers(fleet, &self.record, &bar, load_end) => Err(error),
+            result = apply_load(fleet, &self.scenario, &self.topology, &self.record, &self.plan, load) => result,
         };
         bar.finish_and_clear();
-        ended
+        result
     }
 
-    async fn end(&mut self) -> Result<(), RunError> {
+    async fn stop(&mut self) -> Result<(), RunError> {
         let Some(fleet) = self.fleet.take() else { return Ok(()) };
         if let Some(load) = &mut self.load {
-            load.finish(&fleet, &self.record);
-            load.lists_behind = Some(fleet.lists_behind());
+            load.take_measurements(&fleet, &self.record);
+            load.balancers_with_stale_list = Some(fleet.balancers_with_stale_list());
         }
-        self.hollow_end = fleet.end().await?;
+        self.hollow_end = fleet.stop().await?;
         Ok(())
     }
 
@@ -194,14 +195,14 @@
         let run = Run {
             scenario: &self.scenario,
             start: load.map(|load| load.start),
-            played_s: load.and_then(|load| load.played_s).unwrap_or_default(),
+            load_duration_s: load.and_then(|load| load.load_duration_s).unwrap_or_default(),
             faults: self.plan.faults,
-            control: load.map(|load| load.control_used.clone()).unwrap_or_default(),
+            control_usage: load.map(|load| load.control_usage.clone()).unwrap_or_default(),
             hollow_core_s: load.map(|load| load.hollow_core_s).unwrap_or_default(),
-            lists_behind: load.and_then(|load| load.lists_behind),
+            balancers_with_stale_list: load.and_then(|load| load.balancers_with_stale_list),
             hollow_end: self.hollow_end,
-            tool: load.and_then(|load| load.tool_used),
-            ended_early: error.map(|error| error.to_string()),
+            tool_usage: load.and_then(|load| load.tool_usage),
+            partial_reason: error.map(|error| error.to_string()),
         };
         Report::of(&run, &self.record.measured())
     }
@@ -209,20 +210,24 @@
 
 impl Load {
     /// Takes the figures at the end of the load, once.
-    fn finish(&mut self, fleet: &Fleet, record: &Record) {
-        if self.played_s.is_some() {
+    fn take_measurements(&mut self, fleet: &Fleet, record: &Record) {
+        if self.load_duration_s.is_some() {
             return;
         }
-        self.played_s = Some(self.start.elapsed().as_secs_f64());
-        self.tool_used = self.tool.sample();
+        self.load_duration_s = Some(self.start.elapsed().as_secs_f64());
+        self.tool_usage = self.tool_sampler.sample();
         self.hollow_core_s = record.measured().hollow_core_s;
         let after = fleet.control_usage();
-        self.control_used =
-            self.control_before.iter().zip(after).map(|(before, after)| used(before, &after)).collect();
+        self.control_usage = self
+            .control_before
+            .iter()
+            .zip(after)
+            .map(|(before, after)| usage_between(before, &after))
+            .collect();
     }
 }
 
-fn used(before: &ControlUsage, after: &ControlUsage) -> ControlUsage {
+fn usage_between(before: &ControlUsage, after: &ControlUsage) -> ControlUsage {
     ControlUsage {
         bytes: after.bytes - before.bytes,
         calls: after.calls - before.calls,
@@ -230,7 +235,7 @@
     }
 }
 
-async fn play_load(
+async fn apply_load(
     fleet: &Fleet,
     scenario: &Arc<Scenario>,
     topology: &Arc<Topology>,
@@ -238,29 +243,30 @@
     plan: &Plan,
     load: &mut Load,
 ) -> Result<(), RunError> {
-    let ends = load.start + seconds(scenario.duration_s);
-    let settled = ends + seconds(scenario.load.deadline_s) + SETTLE;
+    let load_end = load.start + seconds(scenario.duration_s);
+    let settle_end = load_end + seconds(scenario.load.deadline_s) + SETTLE_TIME;
     if let Some(hollow) = &fleet.hollow {
         hollow.begin_load(load.start);
     }
     let mut clients = JoinSet::new();
-    clients.spawn(real_load(fleet, scenario, topology, record, load.start));
-    let mut performer = Performer::new(fleet, scenario, topology, record, settled);
+    clients.spawn(socket_load(fleet, scenario, topology, record, load.start));
+    let mut executor = ActionExecutor::new(fleet, scenario, topology, record, settle_end);
     for step in &plan.steps {
         sleep_until((load.start + step.at).into()).await;
-        performer.perform(step.action);
+        executor.execute(step.action);
     }
-    sleep_until(ends.into()).await;
-    load.finish(fleet, record);
-    sleep_until(settled.into()).await;
-    performer.finish().await?;
-    let ended = timeout(LOAD_ENDS_WITHIN, clients.join_next()).await.map_err(|_| RunError::LoadStuck)?;
-    ended.transpose()?;
+    sleep_until(load_end.into()).await;
+    load.take_measurements(fleet, record);
+    sleep_until(settle_end.into()).await;
+    executor.finish().await?;
+    let clients_ended =
+        timeout(LOAD_END_TIMEOUT, clients.join_next()).await.map_err(|_| RunError::LoadNotEnded)?;
+    clients_ended.transpose()?;
     Ok(())
 }
 
 /// The calls of clients to real balancers, and those sent straight.
-fn real_load(
+fn socket_load(
     fleet: &Fleet,
     scenario: &Arc<Scenario>,
     topology: &Arc<Topology>,
--- a/scale/src/run/fleet.rs
+++ b/scale/src/run/fleet.rs
@@ -11,7 +11,7 @@
 use tokio::time::sleep;
 
 use super::RunError;
-use super::lists::Lists;
+use super::lists::EndpointLists;
 use crate::control::ControlPlane;
 use crate::hollow::{HollowEnd, HollowFleet};
 use crate::node::server::NodeServers;
@@ -21,7 +21,7 @@
 use crate::topology::{Carrier, CopyId, NodeId, ServiceId, Topology};
 
 /// Wait between two looks at whether the hollow copies are ready.
-const LOOK: Duration = Duration::from_millis(50);
+const READY_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 /// A real balancer. Its lock is held while a fault of the scenario kills it and starts it again.
 #[derive(Debug, Clone)]
@@ -45,7 +45,7 @@
     /// Hollow copies, if there are any.
     pub hollow: Option<HollowFleet>,
     /// What control was told.
-    pub lists: Lists,
+    pub lists: EndpointLists,
     topology: Arc<Topology>,
     /// The balancers' files.
     _directory: TempDir,
@@ -59,12 +59,12 @@
         record: &Arc<Record>,
         program: &Path,
     ) -> Result<Self, RunError> {
-        let directory = TempDir::with_prefix("stilelead-scale-").map_err(RunError::Directory)?;
+        let directory = TempDir::with_prefix("stilelead-scale-").map_err(RunError::TempDir)?;
         let control = ControlPlane::start(scenario, topology, record.clone()).await?;
         let nodes = NodeServers::start(scenario, topology, record.clone()).await?;
         let padding = scenario.control.padding_entries;
         let address = |node| is_real(topology, node).then(|| nodes.address(node));
-        let lists = Lists::publish(&control, record, topology, padding, address);
+        let lists = EndpointLists::publish(&control, record, topology, padding, address);
         let balancers = start_balancers(scenario, topology, &control, program, directory.path()).await?;
         for balancer in &balancers {
             nodes.set_balancer_address(balancer.copy, balancer.address);
@@ -82,28 +82,28 @@
     }
 
     /// Waits until every copy is ready and has heard from control.
-    pub async fn ready(&self, within: Duration) -> Result<(), RunError> {
+    pub async fn wait_until_ready(&self, timeout: Duration) -> Result<(), RunError> {
         let start = Instant::now();
         for balancer in &self.balancers {
-            let left = within.saturating_sub(start.elapsed());
-            balancer.process.lock().await.wait_until_ready(left).await?;
+            let remaining = timeout.saturating_sub(start.elapsed());
+            balancer.process.lock().await.wait_until_ready(remaining).await?;
         }
-        let of = self.topology.copies.len();
+        let total = self.topology.copies.len();
         loop {
             let ready = self.ready_copies();
-            if ready >= of {
+            if ready >= total {
                 return Ok(());
             }
-            if start.elapsed() >= within {
-                return Err(RunError::NotReady { ready, of, within_s: within.as_secs_f64() });
+            if start.elapsed() >= timeout {
+                return Err(RunError::NotReady { ready, total, within_s: timeout.as_secs_f64() });
             }
-            sleep(LOOK).await;
+            sleep(READY_POLL_INTERVAL).await;
         }
     }
 
     /// Copies that could serve and have a watch, at least.
     fn ready_copies(&self) -> usize {
-        let watching = self.topology.copies.len() - self.lists_behind();
+        let watching = self.topology.copies.len() - self.balancers_with_stale_list();
         let serving = self.hollow.as_ref().map_or(0, HollowFleet::ready) + self.balancers.len();
         watching.min(serving)
     }
@@ -114,7 +114,7 @@
     }
 
     /// Copies that were not told the latest version of their list.
-    pub fn lists_behind(&self) -> usize {
+    pub fn balancers_with_stale_list(&self) -> usize {
         let versions: Vec<u64> = (0..self.topology.services.len())
             .map(|service| self.control.list(ServiceId(service)).index)
             .collect();
@@ -133,8 +133,8 @@
 
     /// Where the nodes of the first real service listen.
     pub fn direct_addresses(&self) -> Vec<SocketAddr> {
-        let first = self.topology.services.iter().find(|service| service.carrier == Carrier::Real);
-        let nodes = first.map(|service| service.nodes.as_slice()).unwrap_or_default();
+        let first_real = self.topology.services.iter().find(|service| service.carrier == Carrier::Real);
+        let nodes = first_real.map(|service| service.nodes.as_slice()).unwrap_or_default();
         nodes.iter().map(|node| self.nodes.address(*node)).collect()
     }
 
@@ -147,7 +147,7 @@
     ///
     /// # Errors
     /// The hollow copies had ended before.
-    pub async fn end(self) -> Result<Option<HollowEnd>, RunError> {
+    pub async fn stop(self) -> Result<Option<HollowEnd>, RunError> {
         for balancer in self.balancers {
             balancer.process.lock().await.kill().await;
         }
@@ -210,10 +210,10 @@
     program: &Path,
     directory: &Path,
 ) -> Result<Balancer, ProcessError> {
-    let known = control.list(topology.copies[copy.0].target);
+    let endpoints = control.list(topology.copies[copy.0].target);
     let discovery = control.address(copy);
-    let text = |listen| configuration(scenario, topology, copy, listen, discovery, &known, None);
+    let settings_text = |listen| configuration(scenario, topology, copy, listen, discovery, &endpoints, None);
     let name = &topology.copies[copy.0].name;
-    let process = BalancerProcess::start_on_any_port(program, directory, name, text).await?;
+    let process = BalancerProcess::start_on_any_port(program, directory, name, settings_text).await?;
     Ok(Balancer { copy, address: process.address(), process: Arc::new(Mutex::new(process)) })
 }
--- a/scale/src/run/lists.rs
+++ b/scale/src/run/lists.rs
@@ -12,19 +12,19 @@
 use crate::topology::{NodeId, ServiceId, Topology, ZoneId};
 
 /// Kind of machine of each node.
-const KIND: &str = "std";
+const MACHINE_KIND: &str = "std";
 const READY: &str = "ready";
 const DRAINING: &str = "draining";
 const GONE: &str = "gone";
 /// First byte of the addresses of modelled nodes: nothing connects to them.
-const MODELLED_NET: u8 = 10;
+const MODELLED_NODE_NET: u8 = 10;
 /// First byte of the addresses of padding entries: nothing connects to them.
 const PADDING_NET: u8 = 11;
 /// The port of both.
-const NO_PORT: u16 = 1;
+const UNUSED_PORT: u16 = 1;
 
 /// The entries of all nodes, as control was last told.
-pub struct Lists {
+pub struct EndpointLists {
     control: Arc<ControlPlane>,
     record: Arc<Record>,
     topology: Arc<Topology>,
@@ -32,7 +32,7 @@
     padding: u32,
 }
 
-impl Lists {
+impl EndpointLists {
     /// Publishes all lists for the first time. `address` tells where a node with sockets listens.
     pub fn publish(
         control: &Arc<ControlPlane>,
@@ -42,13 +42,16 @@
         address: impl Fn(NodeId) -> Option<SocketAddr>,
     ) -> Self {
         let entry = |node| {
-            let address = address(node).unwrap_or_else(|| stand_in(MODELLED_NET, node.0));
+            let address = address(node).unwrap_or_else(|| unused_address(MODELLED_NODE_NET, node.0));
             node_entry(topology, node, address)
         };
         let entries: Vec<Endpoint> = (0..topology.nodes.len()).map(|node| entry(NodeId(node))).collect();
         for (number, service) in topology.services.iter().enumerate() {
             let mut list: Vec<Endpoint> = service.nodes.iter().map(|node| entries[node.0].clone()).collect();
-            list.extend((0..padding).map(|place| padding_entry(topology, ServiceId(number), place, 1.0)));
+            list.extend(
+                (0..padding)
+                    .map(|padding_number| padding_entry(topology, ServiceId(number), padding_number, 1.0)),
+            );
             control.set_list(ServiceId(number), list);
         }
         Self {
@@ -62,7 +65,7 @@
 
     /// Publishes what a node is up to.
     pub fn set_status(&self, node: NodeId, status: NodeStatus) {
-        self.change(node, |entry| match status {
+        self.update_entry(node, |entry| match status {
             NodeStatus::Ready { restarted } => {
                 READY.clone_into(&mut entry.status);
                 if restarted {
@@ -76,21 +79,21 @@
 
     /// Publishes another weight of a node; of one that is gone it is published when the node is back.
     pub fn set_weight(&self, node: NodeId, weight: f64) {
-        self.change(node, |entry| entry.weight = weight);
+        self.update_entry(node, |entry| entry.weight = weight);
     }
 
     /// Publishes another weight of a padding entry.
-    pub fn set_padding(&self, service: ServiceId, place: u32, weight: f64) {
-        if place < self.padding {
-            self.publish_entry(service, padding_entry(&self.topology, service, place, weight));
+    pub fn set_padding(&self, service: ServiceId, padding_number: u32, weight: f64) {
+        if padding_number < self.padding {
+            self.publish_entry(service, padding_entry(&self.topology, service, padding_number, weight));
         }
     }
 
-    fn change(&self, node: NodeId, make: impl FnOnce(&mut Endpoint)) {
+    fn update_entry(&self, node: NodeId, update: impl FnOnce(&mut Endpoint)) {
         let mut entries = self.entries.lock().unwrap_or_else(PoisonError::into_inner);
         let entry = &mut entries[node.0];
         let was_gone = entry.status == GONE;
-        make(entry);
+        update(entry);
         if was_gone && entry.status == GONE {
             return;
         }
@@ -100,20 +103,20 @@
     }
 
     fn publish_entry(&self, service: ServiceId, entry: Endpoint) {
-        let before = self.control.list(service).index;
-        if self.control.update_entry(service, entry) != before {
+        let version_before = self.control.list(service).index;
+        if self.control.update_entry(service, entry) != version_before {
             self.record.measured().list_changes += 1;
         }
     }
 }
 
 fn node_entry(topology: &Topology, node: NodeId, address: SocketAddr) -> Endpoint {
-    let place = &topology.nodes[node.0];
+    let topology_node = &topology.nodes[node.0];
     Endpoint {
-        name: place.name.clone(),
+        name: topology_node.name.clone(),
         address: address.to_string(),
-        zone: topology.zone_name(place.zone),
-        kind: KIND.to_owned(),
+        zone: topology.zone_name(topology_node.zone),
+        kind: MACHINE_KIND.to_owned(),
         group: 0,
         status: READY.to_owned(),
         weight: 1.0,
@@ -122,12 +125,12 @@
 }
 
 /// An entry that gets no calls: it is draining.
-fn padding_entry(topology: &Topology, service: ServiceId, place: u32, weight: f64) -> Endpoint {
+fn padding_entry(topology: &Topology, service: ServiceId, padding_number: u32, weight: f64) -> Endpoint {
     Endpoint {
-        name: format!("p-{:03}-{place:05}", service.0),
-        address: stand_in(PADDING_NET, place as usize).to_string(),
-        zone: topology.zone_name(ZoneId(place % topology.zones)),
-        kind: KIND.to_owned(),
+        name: format!("p-{:03}-{padding_number:05}", service.0),
+        address: unused_address(PADDING_NET, padding_number as usize).to_string(),
+        zone: topology.zone_name(ZoneId(padding_number % topology.zones)),
+        kind: MACHINE_KIND.to_owned(),
         group: 0,
         status: DRAINING.to_owned(),
         weight,
@@ -136,12 +139,12 @@
 }
 
 /// An address at which nothing listens.
-fn stand_in(net: u8, number: usize) -> SocketAddr {
+fn unused_address(net: u8, number: usize) -> SocketAddr {
     let [_, high, middle, low] = (number as u32).to_be_bytes();
-    (Ipv4Addr::new(net, high, middle, low), NO_PORT).into()
+    (Ipv4Addr::new(net, high, middle, low), UNUSED_PORT).into()
 }
 
 fn unix_ms() -> u64 {
-    let since = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-    u64::try_from(since.as_millis()).unwrap_or(u64::MAX)
+    let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
+    u64::try_from(since_epoch.as_millis()).unwrap_or(u64::MAX)
 }
--- a/scale/src/run/perform.rs
+++ b/scale/src/run/perform.rs
@@ -8,33 +8,37 @@
 
 use super::RunError;
 use super::fleet::Fleet;
-use super::settings::Settings;
+use super::settings::SettingsRollout;
 use crate::plan::Action;
 use crate::record::Record;
 use crate::scenario::Scenario;
 use crate::topology::{CopyId, NodeId, Topology};
 
 /// Carries out actions; those that take time go on beside the next ones.
-pub struct Performer<'a> {
+pub struct ActionExecutor<'a> {
     fleet: &'a Fleet,
-    settings: Settings<'a>,
-    work: JoinSet<Result<(), RunError>>,
+    settings: SettingsRollout<'a>,
+    background_tasks: JoinSet<Result<(), RunError>>,
 }
 
-impl<'a> Performer<'a> {
-    /// For a fleet; settings that are not in force at `until` never were.
+impl<'a> ActionExecutor<'a> {
+    /// For a fleet; settings that are not in force at `deadline` never were.
     pub fn new(
         fleet: &'a Fleet,
         scenario: &'a Scenario,
         topology: &'a Topology,
         record: &'a Arc<Record>,
-        until: Instant,
+        deadline: Instant,
     ) -> Self {
-        Self { fleet, settings: Settings::new(scenario, topology, record, until), work: JoinSet::new() }
+        Self {
+            fleet,
+            settings: SettingsRollout::new(scenario, topology, record, deadline),
+            background_tasks: JoinSet::new(),
+        }
     }
 
     /// Does what a step says.
-    pub fn perform(&mut self, action: Action) {
+    pub fn execute(&mut self, action: Action) {
         let fleet = self.fleet;
         if !matches!(action, Action::Weight(..) | Action::Padding(..)) {
             info!(?action, "step");
@@ -58,14 +62,14 @@
             Action::StartReplica(replica) => self.start_replica(replica),
             Action::BreakWatches => fleet.control.break_watches(),
             Action::KillBalancer(copy) => self.kill_balancer(copy),
-            Action::NewSettings => self.settings.hand_out(fleet, &mut self.work),
+            Action::NewSettings => self.settings.start(fleet, &mut self.background_tasks),
         }
     }
 
     /// Waits for what still goes on.
     pub async fn finish(mut self) -> Result<(), RunError> {
-        while let Some(done) = self.work.join_next().await {
-            done??;
+        while let Some(result) = self.background_tasks.join_next().await {
+            result??;
         }
         Ok(())
     }
@@ -90,7 +94,7 @@
     fn restart(&mut self, node: NodeId) {
         if self.fleet.is_real(node) {
             let nodes = self.fleet.nodes.clone();
-            self.work.spawn(async move {
+            self.background_tasks.spawn(async move {
                 nodes.restart(node).await;
                 Ok(())
             });
@@ -108,7 +112,7 @@
 
     fn start_replica(&mut self, replica: u32) {
         let control = self.fleet.control.clone();
-        self.work.spawn(async move {
+        self.background_tasks.spawn(async move {
             control.start_replica(replica).await;
             Ok(())
         });
@@ -117,6 +121,6 @@
     fn kill_balancer(&mut self, copy: CopyId) {
         let balancer = self.fleet.balancers.iter().find(|balancer| balancer.copy == copy);
         let Some(process) = balancer.map(|balancer| balancer.process.clone()) else { return };
-        self.work.spawn(async move { Ok(process.lock().await.kill_and_restart().await?) });
+        self.background_tasks.spawn(async move { Ok(process.lock().await.kill_and_restart().await?) });
     }
 }
--- a/scale/src/run/settings.rs
+++ b/scale/src/run/settings.rs
@@ -18,40 +18,40 @@
 use crate::topology::{Carrier, CopyId, Topology};
 
 /// Wait between two calls that ask whether new settings are in force.
-const ASK_EVERY: Duration = Duration::from_millis(50);
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 /// Time that such a call has.
-const ANSWER_WITHIN: Duration = Duration::from_secs(1);
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(1);
 /// How the answer to a call starts whose class is in force.
-const SERVED: &[u8] = b"HTTP/1.1 200";
+const OK_STATUS_LINE: &[u8] = b"HTTP/1.1 200";
 /// Where hollow copies would listen; nothing does.
-const NO_LISTENER: SocketAddr = SocketAddr::new(std::net::IpAddr::V4(std::net::Ipv4Addr::LOCALHOST), 1);
+const UNUSED_ADDRESS: SocketAddr = SocketAddr::new(std::net::IpAddr::V4(std::net::Ipv4Addr::LOCALHOST), 1);
 
 /// Hands out new settings.
-pub struct Settings<'a> {
+pub struct SettingsRollout<'a> {
     scenario: &'a Scenario,
     topology: &'a Topology,
     record: &'a Arc<Record>,
-    until: Instant,
-    /// Calls that asked so far; their ids differ by it.
-    asked: u64,
+    deadline: Instant,
+    /// Calls that polled_balancers so far; their ids differ by it.
+    polled_balancers: u64,
 }
 
-impl<'a> Settings<'a> {
+impl<'a> SettingsRollout<'a> {
     /// Those of a scenario; what is not in force at `until` never was.
     pub fn new(
         scenario: &'a Scenario,
         topology: &'a Topology,
         record: &'a Arc<Record>,
-        until: Instant,
+        deadline: Instant,
     ) -> Self {
-        Self { scenario, topology, record, until, asked: 0 }
+        Self { scenario, topology, record, deadline, polled_balancers: 0 }
     }
 
-    /// Hands the new settings to every copy at once. A class more is asked for at the real ones until it is served;
+    /// Hands the new settings to every copy at once. A class more is polled_balancers for at the real ones until it is served;
     /// of other changes nothing can be told from outside.
-    pub fn hand_out(&mut self, fleet: &Fleet, work: &mut JoinSet<Result<(), RunError>>) {
+    pub fn start(&mut self, fleet: &Fleet, tasks: &mut JoinSet<Result<(), RunError>>) {
         for (number, copy) in self.topology.copies.iter().enumerate() {
-            let text = self.text(fleet, CopyId(number), NO_LISTENER);
+            let text = self.configuration_text(fleet, CopyId(number), UNUSED_ADDRESS);
             if copy.carrier == Carrier::Hollow
                 && let Some(hollow) = &fleet.hollow
             {
@@ -59,19 +59,32 @@
             }
         }
         for balancer in &fleet.balancers {
-            let text = self.text(fleet, balancer.copy, balancer.address);
-            self.asked += 1;
-            work.spawn(reload(balancer.clone(), text));
+            let text = self.configuration_text(fleet, balancer.copy, balancer.address);
+            self.polled_balancers += 1;
+            tasks.spawn(reload(balancer.clone(), text));
             if self.scenario.changes.settings_kind == SettingsChange::AddClass {
-                work.spawn(ask(balancer.address, self.asked, self.until, self.record.clone()));
+                tasks.spawn(wait_until_served(
+                    balancer.address,
+                    self.polled_balancers,
+                    self.deadline,
+                    self.record.clone(),
+                ));
             }
         }
     }
 
-    fn text(&self, fleet: &Fleet, copy: CopyId, listen: SocketAddr) -> String {
-        let known = fleet.control.list(self.topology.copies[copy.0].target);
+    fn configuration_text(&self, fleet: &Fleet, copy: CopyId, listen: SocketAddr) -> String {
+        let endpoints = fleet.control.list(self.topology.copies[copy.0].target);
         let change = Some(self.scenario.changes.settings_kind);
-        configuration(self.scenario, self.topology, copy, listen, fleet.control.address(copy), &known, change)
+        configuration(
+            self.scenario,
+            self.topology,
+            copy,
+            listen,
+            fleet.control.address(copy),
+            &endpoints,
+            change,
+        )
     }
 }
 
@@ -80,32 +93,37 @@
 }
 
 /// Calls the new class until it is served, and notes how long that took.
-async fn ask(address: SocketAddr, number: u64, until: Instant, record: Arc<Record>) -> Result<(), RunError> {
+async fn wait_until_served(
+    address: SocketAddr,
+    poll_id: u64,
+    deadline: Instant,
+    record: Arc<Record>,
+) -> Result<(), RunError> {
     let start = Instant::now();
-    let mut tries = 0;
-    while Instant::now() < until {
-        tries += 1;
-        let id = number << 32 | tries;
-        if let Ok(Ok(true)) = timeout(ANSWER_WITHIN, is_served(address, id)).await {
+    let mut attempts = 0;
+    while Instant::now() < deadline {
+        attempts += 1;
+        let id = poll_id << 32 | attempts;
+        if let Ok(Ok(true)) = timeout(REQUEST_TIMEOUT, new_class_is_served(address, id)).await {
             record.measured().settings_in_force_us.add(start.elapsed());
             return Ok(());
         }
-        sleep(ASK_EVERY).await;
+        sleep(POLL_INTERVAL).await;
     }
     record.measured().settings_missed += 1;
     Ok(())
 }
 
-async fn is_served(address: SocketAddr, id: u64) -> std::io::Result<bool> {
+async fn new_class_is_served(address: SocketAddr, id: u64) -> std::io::Result<bool> {
     let mut stream = TcpStream::connect(address).await?;
     let request = format!(
         "GET /{CLASS_EXTRA}?hops=1&hop=1 HTTP/1.1\r\nHost: {address}\r\nX-Request-Id: {id:016x}\r\n\
          X-Tenant: {}\r\nX-Deadline: {:.3}\r\nConnection: close\r\n\r\n",
         tenant_name(0),
-        ANSWER_WITHIN.as_secs_f64(),
+        REQUEST_TIMEOUT.as_secs_f64(),
     );
     stream.write_all(request.as_bytes()).await?;
-    let mut answer = Vec::new();
-    stream.read_to_end(&mut answer).await?;
-    Ok(answer.starts_with(SERVED))
+    let mut response = Vec::new();
+    stream.read_to_end(&mut response).await?;
+    Ok(response.starts_with(OK_STATUS_LINE))
 }
--- a/scale/src/run/watch.rs
+++ b/scale/src/run/watch.rs
@@ -11,35 +11,41 @@
 use crate::record::Record;
 
 /// Time between two looks at whether the processes run.
-const ALIVE_EVERY: Duration = Duration::from_millis(100);
+const EXIT_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 /// Looks of that kind to one at what the processes use: one a second.
-const LOOKS_PER_SAMPLE: u32 = 10;
+const CHECKS_PER_SAMPLE: u32 = 10;
 
 /// A process that is looked at.
-struct Watched<'a> {
+struct MonitoredBalancer<'a> {
     balancer: &'a Balancer,
-    process: u32,
+    process_id: u32,
     sampler: Sampler,
 }
 
 /// Watches until a real balancer has ended that no fault had ended. What they use counts until `ends`, the end of the
 /// load.
-pub async fn watch(fleet: &Fleet, record: &Record, bar: &ProgressBar, ends: Instant) -> RunError {
+pub async fn monitor_balancers(
+    fleet: &Fleet,
+    record: &Record,
+    bar: &ProgressBar,
+    load_end: Instant,
+) -> RunError {
     let start = Instant::now();
-    let mut watched = Vec::new();
+    let mut monitored = Vec::new();
     for balancer in &fleet.balancers {
-        let process = balancer.process.lock().await.id();
-        watched.push(Watched { balancer, process, sampler: Sampler::new(process) });
+        let process_id = balancer.process.lock().await.id();
+        monitored.push(MonitoredBalancer { balancer, process_id, sampler: Sampler::new(process_id) });
     }
-    let mut ticks = interval(ALIVE_EVERY);
+    let mut ticks = interval(EXIT_CHECK_INTERVAL);
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
     ticks.tick().await;
     for number in 1_u32.. {
         ticks.tick().await;
-        let sample = number.is_multiple_of(LOOKS_PER_SAMPLE) && Instant::now() <= ends + ALIVE_EVERY;
-        for process in &mut watched {
-            if let Some(ended) = process.look(sample, record) {
-                return ended;
+        let take_sample =
+            number.is_multiple_of(CHECKS_PER_SAMPLE) && Instant::now() <= load_end + EXIT_CHECK_INTERVAL;
+        for balancer in &mut monitored {
+            if let Some(error) = balancer.check(take_sample, record) {
+                return error;
             }
         }
         bar.set_position(start.elapsed().as_secs());
@@ -47,19 +53,19 @@
     std::future::pending().await
 }
 
-impl Watched<'_> {
+impl MonitoredBalancer<'_> {
     /// Looks at one process, which is passed over while a fault restarts it.
-    fn look(&mut self, sample: bool, record: &Record) -> Option<RunError> {
+    fn check(&mut self, take_sample: bool, record: &Record) -> Option<RunError> {
         let mut process = self.balancer.process.try_lock().ok()?;
         if let Some(status) = process.exit_status() {
             let (name, log) = (process.name().to_owned(), process.last_lines());
-            return Some(RunError::Ended { name, status, log });
+            return Some(RunError::BalancerExited { name, status, log });
         }
-        if process.id() != self.process {
-            self.process = process.id();
-            self.sampler = Sampler::new(self.process);
+        if process.id() != self.process_id {
+            self.process_id = process.id();
+            self.sampler = Sampler::new(self.process_id);
         }
-        if sample && let Some(usage) = self.sampler.sample() {
+        if take_sample && let Some(usage) = self.sampler.sample() {
             record.measured().process_samples.push((self.balancer.copy, usage));
         }
         None
--- a/scale/src/scenario.rs
+++ b/scale/src/scenario.rs
@@ -56,10 +56,10 @@
     #[serde(default = "defaults::nodes_per_real")]
     pub nodes_per_real: u32,
     /// Regions.
-    #[serde(default = "defaults::one")]
+    #[serde(default = "defaults::single")]
     pub regions: u32,
     /// Zones in all, spread evenly over the regions.
-    #[serde(default = "defaults::one")]
+    #[serde(default = "defaults::single")]
     pub zones: u32,
     /// Memory limit told to each real balancer, in megabytes.
     #[serde(default = "defaults::memory_mb")]
@@ -196,7 +196,7 @@
     /// What happens.
     pub kind: FaultKind,
     /// Nodes, machines or replicas that it meets, where the kind does not say.
-    #[serde(default = "defaults::one")]
+    #[serde(default = "defaults::single")]
     pub count: u32,
     /// The zone, region or replica, where the kind needs one.
     #[serde(default)]
@@ -238,7 +238,7 @@
         1
     }
 
-    pub(super) fn one() -> u32 {
+    pub(super) fn single() -> u32 {
         1
     }
 
--- a/scale/src/scenario/load.rs
+++ b/scale/src/scenario/load.rs
@@ -65,7 +65,7 @@
 pub enum Reason {
     /// The key is unknown or missing, or its value is of another type.
     #[error("{0}")]
-    Form(String),
+    InvalidForm(String),
     /// `--set` without a value.
     #[error("has no value: it is set by key=value")]
     NoValue,
@@ -74,32 +74,32 @@
     EmptyName,
     /// The path goes through a number or a string.
     #[error("holds no keys")]
-    HoldsNothing,
+    NotAContainer,
     /// An array's entry is named by its number.
     #[error("an entry of an array is named by its number, from 0")]
-    NoIndex,
+    NotAnIndex,
     /// A number without a value.
     #[error("is not a finite number")]
     NotFinite,
     /// A number that is too small or too large.
-    #[error("is {value}, which is not from {least} to {most}")]
-    Outside {
+    #[error("is {value}, but must be from {min} to {max}")]
+    OutOfRange {
         /// What stands there.
         value: f64,
         /// The least that makes sense.
-        least: f64,
+        min: f64,
         /// The most that makes sense.
-        most: f64,
+        max: f64,
     },
     /// Shares that are not a whole.
     #[error("the shares add up to {sum}, not to 1")]
-    Shares {
+    ShareSum {
         /// Their sum.
         sum: f64,
     },
     /// A place or entry that does not exist.
     #[error("is out of range: there are {count} {what}")]
-    NoSuch {
+    TooFew {
         /// What is counted.
         what: &'static str,
         /// How many there are.
@@ -107,10 +107,10 @@
     },
     /// Two keys do not fit together.
     #[error("{0}")]
-    Unfit(&'static str),
+    Invalid(&'static str),
     /// After the end of the load.
     #[error("ends at {ends_s} s, after the load's {duration_s} s")]
-    TooLate {
+    AfterLoadEnd {
         /// When it ends, in seconds.
         ends_s: f64,
         /// The seconds of load.
@@ -118,7 +118,7 @@
     },
     /// More than this machine has.
     #[error("needs {needed} {unit}, and this machine allows {allowed}")]
-    OverLimit {
+    OverMachineLimit {
         /// What the scenario needs.
         needed: u64,
         /// What may be used.
@@ -142,13 +142,13 @@
 /// # Errors
 /// The text makes no sense.
 pub fn parse(file: &Path, text: &str, overrides: &[String]) -> Result<Scenario, ScenarioError> {
-    let in_file = |cause| ScenarioError::Key { file: file.into(), cause };
+    let with_file = |cause| ScenarioError::Key { file: file.into(), cause };
     let mut table: Table = text.parse().map_err(|error| syntax(file, text, &error))?;
     for text in overrides {
-        Override::parse(text).and_then(|change| change.apply(&mut table)).map_err(in_file)?;
+        Override::parse(text).and_then(|change| change.apply(&mut table)).map_err(with_file)?;
     }
-    let scenario = deserialize(table).map_err(in_file)?;
-    scenario.check().map_err(in_file)?;
+    let scenario = deserialize(table).map_err(with_file)?;
+    scenario.check().map_err(with_file)?;
     Ok(scenario)
 }
 
@@ -168,14 +168,14 @@
 
 fn deserialize(table: Table) -> Result<Scenario, KeyError> {
     serde_path_to_error::deserialize(Value::Table(table)).map_err(|error| {
-        let names: Vec<String> = error.path().iter().filter_map(name).collect();
+        let components: Vec<String> = error.path().iter().filter_map(path_component).collect();
         let reason = error.inner().message().to_owned();
-        let key = if names.is_empty() { "top level".to_owned() } else { names.join(".") };
-        KeyError::new(key, Reason::Form(reason))
+        let key = if components.is_empty() { "top level".to_owned() } else { components.join(".") };
+        KeyError::new(key, Reason::InvalidForm(reason))
     })
 }
 
-fn name(segment: &Segment) -> Option<String> {
+fn path_component(segment: &Segment) -> Option<String> {
     match segment {
         Segment::Seq { index } => Some(index.to_string()),
         Segment::Map { key } => Some(key.clone()),
--- a/scale/src/scenario/machine.rs
+++ b/scale/src/scenario/machine.rs
@@ -9,15 +9,15 @@
 use super::load::{KeyError, Reason};
 
 /// Memory of a hollow copy with its modelled node, in megabytes; an estimate with room.
-const HOLLOW_MB: u64 = 1;
+const MB_PER_HOLLOW: u64 = 1;
 /// Memory of the tool itself, in megabytes.
 const TOOL_MB: u64 = 100;
 /// Descriptors of a hollow copy: its control listener and both ends of its watch.
-const HOLLOW_DESCRIPTORS: u64 = 3;
+const DESCRIPTORS_PER_HOLLOW: u64 = 3;
 /// Descriptors of the tool itself, with log, report, pipes and timers.
 const TOOL_DESCRIPTORS: u64 = 100;
 /// Descriptors that control holds for a real balancer: a listener and a watch.
-const REAL_DESCRIPTORS: u64 = 2;
+const DESCRIPTORS_PER_REAL: u64 = 2;
 
 /// The limits of a machine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -40,12 +40,12 @@
         cause: io::Error,
     },
     /// A file of the kernel does not say what is looked for.
-    #[error("{path} does not tell {line:?}")]
-    Form {
+    #[error("{path} does not tell {line_start:?}")]
+    NumberNotFound {
         /// The file.
         path: &'static str,
         /// The start of the line.
-        line: &'static str,
+        line_start: &'static str,
     },
 }
 
@@ -54,9 +54,9 @@
     ///
     /// # Errors
     /// The kernel does not tell.
-    pub fn look() -> Result<Self, MachineError> {
-        let memory_kb = figure("/proc/meminfo", "MemTotal:")?;
-        let descriptors = figure("/proc/self/limits", "Max open files")?;
+    pub fn detect() -> Result<Self, MachineError> {
+        let memory_kb = read_number("/proc/meminfo", "MemTotal:")?;
+        let descriptors = read_number("/proc/self/limits", "Max open files")?;
         Ok(Self { memory_mb: memory_kb / 1024, descriptors })
     }
 
@@ -68,31 +68,33 @@
     pub fn check(&self, scenario: &Scenario) -> Result<(), KeyError> {
         let fleet = &scenario.fleet;
         let (hollow, real) = (u64::from(fleet.hollow), u64::from(fleet.real));
-        let memory_mb = real * u64::from(fleet.memory_mb) + hollow * HOLLOW_MB + TOOL_MB;
-        within("fleet.memory_mb", memory_mb, self.memory_mb / 2, "MB of memory")?;
+        let memory_mb = real * u64::from(fleet.memory_mb) + hollow * MB_PER_HOLLOW + TOOL_MB;
+        check_limit("fleet.memory_mb", memory_mb, self.memory_mb / 2, "MB of memory")?;
         let nodes = real * u64::from(fleet.nodes_per_real);
-        let descriptors = real * (u64::from(fleet.sockets) + REAL_DESCRIPTORS)
+        let descriptors = real * (u64::from(fleet.sockets) + DESCRIPTORS_PER_REAL)
             + nodes
-            + hollow * HOLLOW_DESCRIPTORS
+            + hollow * DESCRIPTORS_PER_HOLLOW
             + TOOL_DESCRIPTORS;
-        within("fleet.sockets", descriptors, self.descriptors, "descriptors")
+        check_limit("fleet.sockets", descriptors, self.descriptors, "descriptors")
     }
 }
 
-fn within(key: &str, needed: u64, allowed: u64, unit: &'static str) -> Result<(), KeyError> {
+fn check_limit(key: &str, needed: u64, allowed: u64, unit: &'static str) -> Result<(), KeyError> {
     if needed > allowed {
-        return Err(KeyError::new(key, Reason::OverLimit { needed, allowed, unit }));
+        return Err(KeyError::new(key, Reason::OverMachineLimit { needed, allowed, unit }));
     }
     Ok(())
 }
 
 /// The first number of the line that starts with `line`; a limit that is none counts as the highest number.
-fn figure(path: &'static str, line: &'static str) -> Result<u64, MachineError> {
+fn read_number(path: &'static str, line_start: &'static str) -> Result<u64, MachineError> {
     let text = fs::read_to_string(path).map_err(|cause| MachineError::Read { path, cause })?;
-    let rest = text.lines().find_map(|text| text.strip_prefix(line));
-    let word = rest.and_then(|rest| rest.split_whitespace().next());
-    match word {
+    let after_start = text.lines().find_map(|text| text.strip_prefix(line_start));
+    let value = after_start.and_then(|rest| rest.split_whitespace().next());
+    match value {
         Some("unlimited") => Ok(u64::MAX),
-        word => word.and_then(|word| word.parse().ok()).ok_or(MachineError::Form { path, line }),
+        value => value
+            .and_then(|value| value.parse().ok())
+            .ok_or(MachineError::NumberNotFound { path, line_start }),
     }
 }
--- a/scale/src/scenario/overrides.rs
+++ b/scale/src/scenario/overrides.rs
@@ -26,67 +26,70 @@
         if path.iter().any(String::is_empty) {
             return Err(KeyError::new(key, Reason::EmptyName));
         }
-        Ok(Self { path, value: read_value(value.trim()) })
+        Ok(Self { path, value: parse_value(value.trim()) })
     }
 
-    /// Puts the value in its place.
+    /// Puts the value in its container.
     ///
     /// # Errors
     /// The path leads through a value that holds no others, or past the end of an array.
     pub fn apply(&self, table: &mut Table) -> Result<(), KeyError> {
         let (last, parents) = self.path.split_last().ok_or(KeyError::new("", Reason::EmptyName))?;
-        let mut place = Place::Table(table);
+        let mut container = Container::Table(table);
         for (depth, name) in parents.iter().enumerate() {
-            place =
-                place.enter(name).map_err(|reason| KeyError::new(self.path[..=depth].join("."), reason))?;
+            container = container
+                .child(name)
+                .map_err(|reason| KeyError::new(self.path[..=depth].join("."), reason))?;
         }
-        place.put(last, self.value.clone()).map_err(|reason| KeyError::new(self.path.join("."), reason))
+        container.set(last, self.value.clone()).map_err(|reason| KeyError::new(self.path.join("."), reason))
     }
 }
 
 /// A value that holds others.
-enum Place<'a> {
+enum Container<'a> {
     Table(&'a mut Table),
     Array(&'a mut Vec<Value>),
 }
 
-impl<'a> Place<'a> {
-    fn enter(self, name: &str) -> Result<Self, Reason> {
+impl<'a> Container<'a> {
+    fn child(self, name: &str) -> Result<Self, Reason> {
         let value = match self {
             Self::Table(table) => table.entry(name.to_owned()).or_insert_with(|| Value::Table(Table::new())),
-            Self::Array(array) => entry(array, name)?,
+            Self::Array(array) => entry_mut(array, name)?,
         };
         match value {
             Value::Table(table) => Ok(Self::Table(table)),
             Value::Array(array) => Ok(Self::Array(array)),
-            _ => Err(Reason::HoldsNothing),
+            _ => Err(Reason::NotAContainer),
         }
     }
 
-    fn put(self, name: &str, value: Value) -> Result<(), Reason> {
+    fn set(self, name: &str, value: Value) -> Result<(), Reason> {
         match self {
             Self::Table(table) => {
                 table.insert(name.to_owned(), value);
             }
-            Self::Array(array) => *entry(array, name)? = value,
+            Self::Array(array) => *entry_mut(array, name)? = value,
         }
         Ok(())
     }
 }
 
-fn entry<'a>(array: &'a mut [Value], name: &str) -> Result<&'a mut Value, Reason> {
+fn entry_mut<'a>(array: &'a mut [Value], name: &str) -> Result<&'a mut Value, Reason> {
     let count = array.len();
-    let index: usize = name.parse().map_err(|_| Reason::NoIndex)?;
-    array.get_mut(index).ok_or(Reason::NoSuch { what: "entries", count: count as u64 })
+    let index: usize = name.parse().map_err(|_| Reason::NotAnIndex)?;
+    array.get_mut(index).ok_or(Reason::TooFew { what: "entries", count: count as u64 })
 }
 
 /// The name under which a value is read.
-const VALUE: &str = "value";
+const VALUE_KEY: &str = "value";
 
-fn read_value(text: &str) -> Value {
-    let read = toml::from_str::<Table>(&format!("{VALUE} = {text}"));
-    match read {
-        Ok(mut table) if table.len() == 1 => table.remove(VALUE).unwrap_or(Value::String(text.to_owned())),
+fn parse_value(text: &str) -> Value {
+    let parsed = toml::from_str::<Table>(&format!("{VALUE_KEY} = {text}"));
+    match parsed {
+        Ok(mut table) if table.len() == 1 => {
+            table.remove(VALUE_KEY).unwrap_or(Value::String(text.to_owned()))
+        }
         _ => Value::String(text.to_owned()),
     }
 }
--- a/scale/src/slopes.rs
+++ b/scale/src/slopes.rs
@@ -69,14 +69,14 @@
     for kind in kinds {
         let start = Instant::now();
         let mut figures: Vec<FittedFigure> = kind.figures().iter().map(FittedFigure::new).collect();
-        for scenario in kind.scenarios(seed)? {
-            info!(slope = kind.name(), size = scenario.size, "measures");
-            let measured = run(&scenario.scenario, options, interrupt.interrupted()).await;
+        for sized in kind.scenarios(seed)? {
+            info!(slope = kind.name(), size = sized.size, "measures");
+            let run_report = run(&sized.scenario, options, interrupt.interrupted()).await;
             for (figure, fitted) in kind.figures().iter().zip(&mut figures) {
-                fitted.points.extend(points(figure, scenario.size, &measured));
+                fitted.points.extend(points(figure, sized.size, &run_report));
             }
-            report.partial |= measured.partial;
-            report.partial_reason = report.partial_reason.or(measured.partial_reason);
+            report.partial |= run_report.partial;
+            report.partial_reason = report.partial_reason.or(run_report.partial_reason);
             if report.partial {
                 break;
             }
@@ -106,45 +106,45 @@
 
 /// The table of slopes.
 #[must_use]
-pub fn table(report: &SlopesReport) -> Table {
+pub fn slopes_table(report: &SlopesReport) -> Table {
     let mut table = Table::default();
     for slope in &report.slopes {
-        table.section();
+        table.start_section();
         let name = slope.name.name();
-        table.row([format!("{name}, by {}", slope.sizes.name), format!("{:.1} s", slope.took_s)]);
+        table.add_row([format!("{name}, by {}", slope.sizes.name), format!("{:.1} s", slope.took_s)]);
         for figure in &slope.figures {
-            row(&mut table, figure, slope.sizes);
+            add_figure_row(&mut table, figure, slope.sizes);
         }
     }
     if let Some(reason) = &report.partial_reason {
-        table.row([format!("partial: {reason}")]);
+        table.add_row([format!("partial: {reason}")]);
     }
     table
 }
 
-fn row(table: &mut Table, figure: &FittedFigure, sizes: Axis) {
-    let points = figure.points.iter().map(|point| format!("{}: {}", point.x, rounded(point.y)));
+fn add_figure_row(table: &mut Table, figure: &FittedFigure, sizes: Axis) {
+    let points = figure.points.iter().map(|point| format!("{}: {}", point.x, four_digits(point.y)));
     let name = format!("  {} ({})", figure.name, figure.unit);
     let mut cells = vec![name];
     match figure.fit {
         Some(fit) => {
-            cells.push(format!("{} per {}", rounded(fit.slope), sizes.one));
-            cells.push(format!("from {}", rounded(fit.intercept)));
-            let relative = fit.residual_relative.map(|part| format!(", {:.0} % at most", part * 100.0));
+            cells.push(format!("{} per {}", four_digits(fit.slope), sizes.singular));
+            cells.push(format!("from {}", four_digits(fit.intercept)));
+            let relative = fit.residual_relative.map(|share| format!(", {:.0} % at most", share * 100.0));
             let relative = relative.unwrap_or_default();
-            cells.push(format!("residual {}{relative}", rounded(fit.residual_rms)));
+            cells.push(format!("residual {}{relative}", four_digits(fit.residual_rms)));
         }
         None => cells.extend(["-".to_owned(), "-".to_owned(), "-".to_owned()]),
     }
     cells.push(points.collect::<Vec<_>>().join(", "));
-    table.row(cells);
+    table.add_row(cells);
 }
 
 /// Four figures.
-fn rounded(value: f64) -> String {
+fn four_digits(value: f64) -> String {
     if value == 0.0 {
         return "0".to_owned();
     }
-    let places = (3.0 - value.abs().log10().floor()).clamp(0.0, 9.0) as usize;
-    format!("{value:.places$}")
+    let decimals = (3.0 - value.abs().log10().floor()).clamp(0.0, 9.0) as usize;
+    format!("{value:.decimals$}")
 }
--- a/scale/src/slopes/kinds.rs
+++ b/scale/src/slopes/kinds.rs
@@ -32,7 +32,8 @@
     /// Several of it.
     pub name: &'static str,
     /// One of it.
-    pub one: &'static str,
+    #[serde(rename = "one")]
+    pub singular: &'static str,
 }
 
 /// A figure that is taken from the report of each run.
@@ -64,19 +65,19 @@
 }
 
 /// Microseconds of processor time in a second of a percent of a core.
-const US_PER_PERCENT: f64 = 10_000.0;
+const US_PER_CORE_PERCENT: f64 = 10_000.0;
 /// Kilobytes in a megabyte.
 const KB_PER_MB: f64 = 1024.0;
 /// Milliseconds in a second.
 const MS_PER_S: f64 = 1000.0;
 /// Copies and nodes of each service where the number of copies changes.
-const COPIES_OF_SERVICE: u32 = 20;
+const HOLLOW_PER_SERVICE: u32 = 20;
 
-const COPIES: &str = include_str!("copies.toml");
-const LIST_ENTRIES: &str = include_str!("list-entries.toml");
-const CHANGES: &str = include_str!("changes.toml");
-const CALLS: &str = include_str!("calls.toml");
-const DEPTH: &str = include_str!("depth.toml");
+const COPIES_SCENARIO: &str = include_str!("copies.toml");
+const LIST_ENTRIES_SCENARIO: &str = include_str!("list-entries.toml");
+const CHANGES_SCENARIO: &str = include_str!("changes.toml");
+const CALLS_SCENARIO: &str = include_str!("calls.toml");
+const DEPTH_SCENARIO: &str = include_str!("depth.toml");
 
 impl SlopeKind {
     /// Its name.
@@ -94,11 +95,11 @@
     /// What its sizes count.
     pub(super) fn axis(self) -> Axis {
         match self {
-            Self::Copies => Axis { name: "copies", one: "copy" },
-            Self::ListEntries => Axis { name: "entries of the list", one: "entry" },
-            Self::Changes => Axis { name: "changes a second", one: "change a second" },
-            Self::Calls => Axis { name: "calls a second", one: "call a second" },
-            Self::Depth => Axis { name: "hops", one: "hop" },
+            Self::Copies => Axis { name: "copies", singular: "copy" },
+            Self::ListEntries => Axis { name: "entries of the list", singular: "entry" },
+            Self::Changes => Axis { name: "changes a second", singular: "change a second" },
+            Self::Calls => Axis { name: "calls a second", singular: "call a second" },
+            Self::Depth => Axis { name: "hops", singular: "hop" },
         }
     }
 
@@ -107,13 +108,13 @@
     /// # Errors
     /// One makes no sense, or this machine cannot carry it.
     pub fn scenarios(self, seed: u64) -> Result<Vec<SizedScenario>, SlopeScenarioError> {
-        let machine = Machine::look()?;
+        let machine = Machine::detect()?;
         let mut scenarios = Vec::new();
         for size in self.sizes() {
             let file = format!("slope {}", self.name());
-            let mut changes = self.changes(*size);
-            changes.push(format!("seed={seed}"));
-            let scenario = parse(file.as_ref(), self.text(), &changes)?;
+            let mut overrides = self.overrides(*size);
+            overrides.push(format!("seed={seed}"));
+            let scenario = parse(file.as_ref(), self.scenario_text(), &overrides)?;
             check_machine(file.as_ref(), &scenario, &machine)?;
             scenarios.push(SizedScenario { size: f64::from(*size), scenario });
         }
@@ -130,20 +131,20 @@
         }
     }
 
-    fn text(self) -> &'static str {
+    fn scenario_text(self) -> &'static str {
         match self {
-            Self::Copies => COPIES,
-            Self::ListEntries => LIST_ENTRIES,
-            Self::Changes => CHANGES,
-            Self::Calls => CALLS,
-            Self::Depth => DEPTH,
+            Self::Copies => COPIES_SCENARIO,
+            Self::ListEntries => LIST_ENTRIES_SCENARIO,
+            Self::Changes => CHANGES_SCENARIO,
+            Self::Calls => CALLS_SCENARIO,
+            Self::Depth => DEPTH_SCENARIO,
         }
     }
 
-    fn changes(self, size: u32) -> Vec<String> {
+    fn overrides(self, size: u32) -> Vec<String> {
         match self {
             Self::Copies => {
-                let services = size / COPIES_OF_SERVICE;
+                let services = size / HOLLOW_PER_SERVICE;
                 vec![format!("fleet.hollow={size}"), format!("fleet.services={services}")]
             }
             Self::ListEntries => vec![format!("control.padding_entries={size}")],
@@ -158,13 +159,13 @@
             Self::Copies => &[
                 Figure { name: "processor time of all copies", unit: "% of a core", measure: hollow_core },
                 Figure { name: "memory of the tool", unit: "KB", measure: tool_memory },
-                Figure { name: "change told, p50", unit: "ms", measure: told_p50 },
-                Figure { name: "change told, max", unit: "ms", measure: told_max },
+                Figure { name: "change told, p50", unit: "ms", measure: list_delivery_p50 },
+                Figure { name: "change told, max", unit: "ms", measure: list_delivery_max },
             ],
-            Self::ListEntries => &[CORE, MEMORY],
-            Self::Changes => &[CORE, MEMORY, BYTES],
+            Self::ListEntries => &[IDLE_CORE_FIGURE, MEMORY_FIGURE],
+            Self::Changes => &[IDLE_CORE_FIGURE, MEMORY_FIGURE, CONTROL_BYTES_FIGURE],
             Self::Calls => &[
-                Figure { name: "processor time", unit: "us a second", measure: core_us },
+                Figure { name: "processor time", unit: "us a second", measure: balancer_core_us },
                 Figure { name: "latency added, p50", unit: "us", measure: added_p50 },
                 Figure { name: "latency added, p99", unit: "us", measure: added_p99 },
             ],
@@ -176,52 +177,52 @@
     }
 }
 
-const CORE: Figure = Figure { name: "processor time", unit: "% of a core", measure: idle_core };
-const MEMORY: Figure = Figure { name: "memory", unit: "KB", measure: memory };
-const BYTES: Figure = Figure { name: "bytes from control", unit: "B/s", measure: bytes };
+const IDLE_CORE_FIGURE: Figure = Figure { name: "processor time", unit: "% of a core", measure: idle_core };
+const MEMORY_FIGURE: Figure = Figure { name: "memory", unit: "KB", measure: memory };
+const CONTROL_BYTES_FIGURE: Figure = Figure { name: "bytes from control", unit: "B/s", measure: bytes };
 
-fn at(size: f64, value: Option<f64>) -> Vec<Point> {
+fn point(size: f64, value: Option<f64>) -> Vec<Point> {
     value.into_iter().map(|y| Point { x: size, y }).collect()
 }
 
 fn hollow_core(report: &Report, size: f64) -> Vec<Point> {
-    at(size, report.hollow_core_percent.map(|percent| percent * size))
+    point(size, report.hollow_core_percent.map(|percent| percent * size))
 }
 
 fn tool_memory(report: &Report, size: f64) -> Vec<Point> {
-    at(size, report.tool_memory_mb.map(|memory| memory * KB_PER_MB))
+    point(size, report.tool_memory_mb.map(|memory| memory * KB_PER_MB))
 }
 
-fn told_p50(report: &Report, size: f64) -> Vec<Point> {
-    at(size, report.told_s.map(|told| told.p50 * MS_PER_S))
+fn list_delivery_p50(report: &Report, size: f64) -> Vec<Point> {
+    point(size, report.list_delivery_s.map(|delay| delay.p50 * MS_PER_S))
 }
 
-fn told_max(report: &Report, size: f64) -> Vec<Point> {
-    at(size, report.told_s.map(|told| told.max * MS_PER_S))
+fn list_delivery_max(report: &Report, size: f64) -> Vec<Point> {
+    point(size, report.list_delivery_s.map(|delay| delay.max * MS_PER_S))
 }
 
 fn idle_core(report: &Report, size: f64) -> Vec<Point> {
-    at(size, report.control_core_percent.map(|percent| percent.mean))
+    point(size, report.control_core_percent.map(|percent| percent.mean))
 }
 
 fn memory(report: &Report, size: f64) -> Vec<Point> {
-    at(size, report.memory_mb.map(|memory| memory.mean * KB_PER_MB))
+    point(size, report.memory_mb.map(|memory| memory.mean * KB_PER_MB))
 }
 
 fn bytes(report: &Report, size: f64) -> Vec<Point> {
-    at(size, report.control_bytes_per_s.map(|bytes| bytes.mean))
+    point(size, report.control_bytes_per_s.map(|bytes| bytes.mean))
 }
 
-fn core_us(report: &Report, size: f64) -> Vec<Point> {
-    at(size, report.balancer_core_percent.map(|percent| percent.mean * US_PER_PERCENT))
+fn balancer_core_us(report: &Report, size: f64) -> Vec<Point> {
+    point(size, report.balancer_core_percent.map(|percent| percent.mean * US_PER_CORE_PERCENT))
 }
 
 fn added_p50(report: &Report, size: f64) -> Vec<Point> {
-    at(size, report.added_latency_us.map(|added| added.p50 as f64))
+    point(size, report.added_latency_us.map(|added| added.p50 as f64))
 }
 
 fn added_p99(report: &Report, size: f64) -> Vec<Point> {
-    at(size, report.added_latency_us.map(|added| added.p99 as f64))
+    point(size, report.added_latency_us.map(|added| added.p99 as f64))
 }
 
 fn depth_p50(report: &Report, _: f64) -> Vec<Point> {
@@ -233,6 +234,7 @@
 }
 
 fn by_depth(report: &Report, value: fn(&Latency) -> u64) -> Vec<Point> {
-    let played = report.depth_latency_us.iter().filter_map(|(hops, latency)| Some((hops, latency.as_ref()?)));
-    played.map(|(hops, latency)| Point { x: f64::from(*hops), y: value(latency) as f64 }).collect()
+    let measured =
+        report.depth_latency_us.iter().filter_map(|(hops, latency)| Some((hops, latency.as_ref()?)));
+    measured.map(|(hops, latency)| Point { x: f64::from(*hops), y: value(latency) as f64 }).collect()
 }
--- a/scale/src/table.rs
+++ b/scale/src/table.rs
@@ -5,9 +5,9 @@
 use crate::report::{AttemptsPerCall, Delay, Latency, MeanMax, Recovery, Report};
 
 /// What stands where there is no figure.
-const NONE: &str = "-";
+const NO_VALUE: &str = "-";
 /// Spaces between columns.
-const GAP: usize = 2;
+const COLUMN_GAP: usize = 2;
 
 /// Rows of cells, printed with columns that are aligned within each section.
 #[derive(Debug, Clone, Default)]
@@ -22,12 +22,12 @@
 
 impl Table {
     /// Begins a section; the one before it and this are set apart by an empty line.
-    pub fn section(&mut self) {
+    pub fn start_section(&mut self) {
         self.sections.push(Section::default());
     }
 
     /// Adds a row to the section.
-    pub fn row<T: Display>(&mut self, cells: impl IntoIterator<Item = T>) {
+    pub fn add_row<T: Display>(&mut self, cells: impl IntoIterator<Item = T>) {
         let row = cells.into_iter().map(|cell| cell.to_string()).collect();
         match self.sections.last_mut() {
             Some(section) => section.rows.push(row),
@@ -48,8 +48,8 @@
 
 impl Display for Table {
     fn fmt(&self, formatter: &mut Formatter<'_>) -> fmt::Result {
-        let filled = self.sections.iter().filter(|section| !section.rows.is_empty());
-        for (number, section) in filled.enumerate() {
+        let non_empty = self.sections.iter().filter(|section| !section.rows.is_empty());
+        for (number, section) in non_empty.enumerate() {
             if number > 0 {
                 writeln!(formatter)?;
             }
@@ -65,7 +65,7 @@
         for row in &self.rows {
             let mut line = String::new();
             for (cell, width) in row.iter().zip(&widths) {
-                line.push_str(&format!("{cell:<width$}", width = width + GAP));
+                line.push_str(&format!("{cell:<width$}", width = width + COLUMN_GAP));
             }
             writeln!(formatter, "{}", line.trim_end())?;
         }
@@ -75,85 +75,90 @@
 
 /// The table of a report.
 #[must_use]
-pub fn of_report(report: &Report) -> Table {
+pub fn report_table(report: &Report) -> Table {
     let mut table = Table::default();
-    head(&mut table, report);
-    table.section();
-    calls(&mut table, report);
-    table.section();
-    latencies(&mut table, report);
-    table.section();
-    attempts(&mut table, "attempts a call, real", &report.attempts_per_call);
-    attempts(&mut table, "attempts a call, hollow", &report.hollow_attempts_per_call);
-    table.section();
-    control(&mut table, report);
-    table.section();
-    delays(&mut table, report);
-    table.section();
+    add_run(&mut table, report);
+    table.start_section();
+    add_calls(&mut table, report);
+    table.start_section();
+    add_latencies(&mut table, report);
+    table.start_section();
+    add_attempts(&mut table, "attempts a call, real", &report.attempts_per_call);
+    add_attempts(&mut table, "attempts a call, hollow", &report.hollow_attempts_per_call);
+    table.start_section();
+    add_control(&mut table, report);
+    table.start_section();
+    add_delays(&mut table, report);
+    table.start_section();
     for recovery in &report.recovery_s {
-        fault(&mut table, recovery);
+        add_fault(&mut table, recovery);
     }
     table
 }
 
-fn head(table: &mut Table, report: &Report) {
-    let ended = report.partial_reason.as_ref().map(|reason| format!("partial: {reason}"));
-    table.row(["run".to_owned(), report.name.clone(), ended.unwrap_or("whole".to_owned())]);
+fn add_run(table: &mut Table, report: &Report) {
+    let partial = report.partial_reason.as_ref().map(|reason| format!("partial: {reason}"));
+    table.add_row(["run".to_owned(), report.name.clone(), partial.unwrap_or("whole".to_owned())]);
     if !report.scale.is_empty() {
-        table.row(["scaled", &report.scale]);
-    }
-    table.row(["seed".to_owned(), report.seed.to_string()]);
-    table.row(["load".to_owned(), format!("{:.1} s", report.duration_s)]);
-    table.row(["balancers".to_owned(), format!("{} real", report.real), format!("{} hollow", report.hollow)]);
+        table.add_row(["scaled", &report.scale]);
+    }
+    table.add_row(["seed".to_owned(), report.seed.to_string()]);
+    table.add_row(["load".to_owned(), format!("{:.1} s", report.duration_s)]);
+    table.add_row([
+        "balancers".to_owned(),
+        format!("{} real", report.real),
+        format!("{} hollow", report.hollow),
+    ]);
 }
 
-fn calls(table: &mut Table, report: &Report) {
-    table.row(["", "calls", "served", "refused", "failed", "lost", "left"]);
+fn add_calls(table: &mut Table, report: &Report) {
+    table.add_row(["", "calls", "served", "refused", "failed", "lost", "left"]);
     let rows = [("all calls", report.all), ("real", report.real_calls), ("hollow", report.hollow_calls)];
     for (name, counts) in rows {
-        let figures = [counts.calls, counts.served, counts.refused, counts.failed, counts.lost, counts.left];
-        table.row(std::iter::once(name.to_owned()).chain(figures.map(|figure| figure.to_string())));
+        let figures =
+            [counts.calls, counts.served, counts.refused, counts.failed, counts.lost, counts.client_left];
+        table.add_row(std::iter::once(name.to_owned()).chain(figures.map(|figure| figure.to_string())));
     }
-    table.row(["run twice".to_owned(), report.duplicated.to_string()]);
-    table.row(["cold nodes fallen".to_owned(), report.cold_falls.to_string()]);
+    table.add_row(["run twice".to_owned(), report.duplicated.to_string()]);
+    table.add_row(["cold nodes fallen".to_owned(), report.cold_falls.to_string()]);
 }
 
-fn latencies(table: &mut Table, report: &Report) {
-    table.row(["latency", "p50", "p99", "p99.9", "calls"]);
+fn add_latencies(table: &mut Table, report: &Report) {
+    table.add_row(["latency", "p50", "p99", "p99.9", "calls"]);
     let added = report.added_latency_us;
     let added = added.map(|added| [added.p50, added.p99, added.p999].map(|us| format!("{us} us")));
     if let Some(added) = added {
-        table.row(std::iter::once("added, one hop".to_owned()).chain(added));
+        table.add_row(std::iter::once("added, one hop".to_owned()).chain(added));
     }
-    latency(table, "straight", report.direct_latency_us);
-    latency(table, "client's lag", report.client_lag_us);
+    add_latency(table, "straight", report.direct_latency_us);
+    add_latency(table, "client's lag", report.client_lag_us);
     for (hops, figures) in &report.depth_latency_us {
-        latency(table, &format!("real, {hops} deep"), *figures);
+        add_latency(table, &format!("real, {hops} deep"), *figures);
     }
     for (hops, figures) in &report.hollow_depth_latency_us {
-        latency(table, &format!("hollow, {hops} deep (modelled)"), *figures);
+        add_latency(table, &format!("hollow, {hops} deep (modelled)"), *figures);
     }
 }
 
-fn latency(table: &mut Table, name: &str, latency: Option<Latency>) {
+fn add_latency(table: &mut Table, name: &str, latency: Option<Latency>) {
     let Some(latency) = latency else { return };
     let times = [latency.p50, latency.p99, latency.p999].map(|us| format!("{us} us"));
     let count = latency.count.to_string();
-    table.row(std::iter::once(name.to_owned()).chain(times).chain([count]));
+    table.add_row(std::iter::once(name.to_owned()).chain(times).chain([count]));
 }
 
-fn attempts(table: &mut Table, name: &str, attempts: &AttemptsPerCall) {
+fn add_attempts(table: &mut Table, name: &str, attempts: &AttemptsPerCall) {
     if attempts.by_hop.is_empty() {
         return;
     }
     let mut by_hop = attempts.by_hop.iter().map(|(hop, share)| format!("hop {hop}: {share:.3}"));
     let (first, last) = (by_hop.next(), by_hop.next_back());
     let deepest = attempts.deepest_over_first.map(|share| format!("deepest over first: {share:.3}"));
-    table.row(std::iter::once(name.to_owned()).chain(first).chain(last).chain(deepest));
+    table.add_row(std::iter::once(name.to_owned()).chain(first).chain(last).chain(deepest));
 }
 
-fn control(table: &mut Table, report: &Report) {
-    table.row(["by balancer", "mean", "max"]);
+fn add_control(table: &mut Table, report: &Report) {
+    table.add_row(["by balancer", "mean", "max"]);
     let rows: [(&str, Option<MeanMax>, &str); 6] = [
         ("control, bytes", report.control_bytes_per_s, "B/s"),
         ("control, core", report.control_core_percent, "%"),
@@ -164,43 +169,45 @@
     ];
     for (name, figures, unit) in rows {
         let cell = |value: f64| format!("{value:.2} {unit}").trim_end().to_owned();
-        let cells = figures.map_or([NONE.to_owned(), NONE.to_owned()], |of| [cell(of.mean), cell(of.max)]);
-        table.row(std::iter::once(name.to_owned()).chain(cells));
+        let cells =
+            figures.map_or([NO_VALUE.to_owned(), NO_VALUE.to_owned()], |of| [cell(of.mean), cell(of.max)]);
+        table.add_row(std::iter::once(name.to_owned()).chain(cells));
     }
     if let Some(core) = report.hollow_core_percent {
-        let behind = report.hollow_behind_ms.map(|ms| format!("late by {ms:.1} ms at most"));
-        table.row(["hollow copy, core".to_owned(), format!("{core:.3} %")].into_iter().chain(behind));
+        let late = report.hollow_max_lag_ms.map(|ms| format!("late by {ms:.1} ms at most"));
+        table.add_row(["hollow copy, core".to_owned(), format!("{core:.3} %")].into_iter().chain(late));
     }
     if let (Some(core), Some(memory)) = (report.tool_core_percent, report.tool_memory_mb) {
-        table.row(["the tool itself".to_owned(), format!("{core:.0} %"), format!("{memory:.0} MB")]);
+        table.add_row(["the tool itself".to_owned(), format!("{core:.0} %"), format!("{memory:.0} MB")]);
     }
-    let turned_away = format!("{} turned away", report.control_turned_away);
-    table.row(["calls to control".to_owned(), report.control_calls.to_string(), turned_away]);
+    let rejected = format!("{} turned away", report.control_rejected_calls);
+    table.add_row(["calls to control".to_owned(), report.control_calls.to_string(), rejected]);
 }
 
-fn delays(table: &mut Table, report: &Report) {
-    table.row(["changes", "p50", "p99", "max", "copies"]);
-    let behind = report.lists_behind.map(|copies| format!("{copies} copies behind at the end"));
+fn add_delays(table: &mut Table, report: &Report) {
+    table.add_row(["changes", "p50", "p99", "max", "copies"]);
+    let stale = report.balancers_with_stale_list.map(|copies| format!("{copies} copies behind at the end"));
     let changed = ["lists changed".to_owned(), report.list_changes.to_string()];
-    table.row(changed.into_iter().chain(behind));
-    delay(table, "list told", report.told_s);
-    delay(table, "list in force", report.in_force_s);
+    table.add_row(changed.into_iter().chain(stale));
+    add_delay(table, "list told", report.list_delivery_s);
+    add_delay(table, "list in force", report.list_in_force_s);
     let settings = report.settings_in_force_s;
-    delay(table, "settings in force", settings.delay);
+    add_delay(table, "settings in force", settings.delay);
     if settings.delay.is_some() || settings.missed > 0 {
-        table.row(["settings missed by".to_owned(), settings.missed.to_string()]);
+        table.add_row(["settings missed by".to_owned(), settings.missed.to_string()]);
     }
 }
 
-fn delay(table: &mut Table, name: &str, delay: Option<Delay>) {
+fn add_delay(table: &mut Table, name: &str, delay: Option<Delay>) {
     let Some(delay) = delay else { return };
     let times = [delay.p50, delay.p99, delay.max].map(|seconds| format!("{seconds:.3} s"));
-    table.row(std::iter::once(name.to_owned()).chain(times).chain([delay.count.to_string()]));
+    table.add_row(std::iter::once(name.to_owned()).chain(times).chain([delay.count.to_string()]));
 }
 
-fn fault(table: &mut Table, recovery: &Recovery) {
-    let share = |share: Option<f64>| share.map_or(NONE.to_owned(), |share| format!("{:.1} %", share * 100.0));
-    table.row([
+fn add_fault(table: &mut Table, recovery: &Recovery) {
+    let share =
+        |share: Option<f64>| share.map_or(NO_VALUE.to_owned(), |share| format!("{:.1} %", share * 100.0));
+    table.add_row([
         format!("fault {:?}", recovery.kind),
         format!("{:.1}..{:.1} s", recovery.at_s, recovery.ends_s),
         format!("served before {}", share(recovery.share_before)),
--- a/scale/src/topology.rs
+++ b/scale/src/topology.rs
@@ -102,8 +102,8 @@
             zones: fleet.zones.max(1),
             regions: fleet.regions.max(1),
         };
-        topology.lay_hollow(fleet.services as usize, fleet.hollow as usize);
-        topology.lay_real(fleet.real as usize, fleet.nodes_per_real as usize);
+        topology.add_hollow_services(fleet.services as usize, fleet.hollow as usize);
+        topology.add_real_services(fleet.real as usize, fleet.nodes_per_real as usize);
         topology
     }
 
@@ -119,7 +119,7 @@
         RegionId(zone.0 % self.regions)
     }
 
-    fn lay_hollow(&mut self, services: usize, hollow: usize) {
+    fn add_hollow_services(&mut self, services: usize, hollow: usize) {
         if hollow == 0 {
             return;
         }
@@ -143,7 +143,7 @@
         }
     }
 
-    fn lay_real(&mut self, real: usize, nodes_per_real: usize) {
+    fn add_real_services(&mut self, real: usize, nodes_per_real: usize) {
         let first_service = self.services.len();
         let first_copy = self.copies.len();
         for number in 0..real {
@@ -159,13 +159,13 @@
             let zone = ZoneId(number as u32 % self.zones);
             let service = ServiceId(first_service + number);
             self.add_copy(format!("real-{number}"), Carrier::Real, service, zone);
-            for place in 0..nodes_per_real {
+            for node_number in 0..nodes_per_real {
                 let node = NodeId(self.nodes.len());
                 self.services[service.0].nodes.push(node);
                 self.nodes.push(Node {
-                    name: format!("s-{number:03}-{place:03}"),
+                    name: format!("s-{number:03}-{node_number:03}"),
                     service,
-                    zone: ZoneId(place as u32 % self.zones),
+                    zone: ZoneId(node_number as u32 % self.zones),
                     calls_through: CopyId(first_copy + (number + 1) % real),
                 });
             }
--- a/scale/tests/cli.rs
+++ b/scale/tests/cli.rs
@@ -3,32 +3,32 @@
 use std::path::Path;
 use std::process::{Command, Output};
 
-fn scale(arguments: &[&str]) -> Output {
+fn run_tool(arguments: &[&str]) -> Output {
     Command::new(env!("CARGO_BIN_EXE_stilelead-scale")).args(arguments).output().expect("the program runs")
 }
 
-fn quick() -> String {
+fn quick_scenario() -> String {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("scenarios/quick.toml").display().to_string()
 }
 
-fn said(output: &Output) -> String {
+fn stderr(output: &Output) -> String {
     String::from_utf8_lossy(&output.stderr).into_owned()
 }
 
 #[test]
-fn help_and_version_are_there_for_all() {
+fn help_and_version_are_printed_for_each_command() {
     let cases: [&[&str]; 5] =
         [&["--help"], &["run", "--help"], &["slopes", "--help"], &["check", "--help"], &["--version"]];
     for arguments in cases {
-        let output = scale(arguments);
+        let output = run_tool(arguments);
         assert_eq!(output.status.code(), Some(0), "{arguments:?}");
         assert!(!output.stdout.is_empty(), "{arguments:?}");
     }
 }
 
 #[test]
-fn a_scenario_or_argument_without_sense_ends_with_2() {
-    let quick = quick();
+fn an_invalid_scenario_or_argument_exits_with_2() {
+    let quick = quick_scenario();
     let cases: [(&[&str], &str); 7] = [
         (&["check", &quick, "--set", "fleet.hollow=1"], "quick.toml: fleet.hollow: each service needs"),
         (&["run", &quick, "--set", "load.depths.0.hops=99"], "quick.toml: load.depths.0.hops: is 99"),
@@ -42,25 +42,25 @@
         (&["slopes", "--only", "nothing"], "invalid value"),
     ];
     for (arguments, reason) in cases {
-        let output = scale(arguments);
-        assert_eq!(output.status.code(), Some(2), "{arguments:?}: {}", said(&output));
-        assert!(said(&output).contains(reason), "{arguments:?}: {}", said(&output));
+        let output = run_tool(arguments);
+        assert_eq!(output.status.code(), Some(2), "{arguments:?}: {}", stderr(&output));
+        assert!(stderr(&output).contains(reason), "{arguments:?}: {}", stderr(&output));
         assert!(output.stdout.is_empty(), "{arguments:?}");
     }
 }
 
 #[test]
-fn logs_are_json_lines_where_asked_for() {
-    let output = scale(&["check", &quick(), "--log-format", "json", "--set", "duration_s=0"]);
+fn logs_are_json_lines_if_requested() {
+    let output = run_tool(&["check", &quick_scenario(), "--log-format", "json", "--set", "duration_s=0"]);
     assert_eq!(output.status.code(), Some(2));
-    for line in said(&output).lines() {
+    for line in stderr(&output).lines() {
         let line: serde_json::Value = serde_json::from_str(line).expect("a line of JSON");
         assert_eq!(line["level"], "ERROR");
     }
 }
 
 #[test]
-fn a_scenario_that_makes_sense_ends_check_with_0() {
-    let output = scale(&["check", &quick(), "--set", "fleet.sockets=48"]);
-    assert_eq!(output.status.code(), Some(0), "{}", said(&output));
+fn check_exits_with_0_for_a_valid_scenario() {
+    let output = run_tool(&["check", &quick_scenario(), "--set", "fleet.sockets=48"]);
+    assert_eq!(output.status.code(), Some(0), "{}", stderr(&output));
 }
--- a/scale/tests/cover.rs
+++ b/scale/tests/cover.rs
@@ -1,23 +1,23 @@
 //! The cover of endpoints by subsets, on the decisions themselves.
 
-use stilelead_scale::cover::{Cover, CoverError};
+use stilelead_scale::cover::{CoverageError, CoverageModel};
 
-fn spread(copies: u32, old_count: u32, endpoints: u32) -> stilelead_scale::cover::Spread {
-    Cover { copies, old_count, endpoints, calls_per_copy: 200 }.measure(7).expect("sound sizes")
+fn distribution(copies: u32, old_count: u32, endpoints: u32) -> stilelead_scale::cover::CallDistribution {
+    CoverageModel { copies, old_count, endpoints, calls_per_copy: 200 }.measure(7).expect("sound sizes")
 }
 
 /// Guards the measure: copies that know their count cover the endpoints evenly, and it shows where they do not.
 #[test]
-fn an_old_count_shows_as_uneven_cover() {
-    let known = spread(64, 64, 64);
-    assert_eq!(known.bare, 0);
-    let old = spread(64, 4, 64);
-    assert!(old.most_over_mean > known.most_over_mean, "{old:?} against {known:?}");
+fn an_outdated_replica_count_gives_uneven_coverage() {
+    let correct = distribution(64, 64, 64);
+    assert_eq!(correct.endpoints_without_calls, 0);
+    let outdated = distribution(64, 4, 64);
+    assert!(outdated.max_over_mean > correct.max_over_mean, "{outdated:?} against {correct:?}");
 }
 
 /// Guards against a measure of nothing.
 #[test]
 fn sizes_of_zero_are_refused() {
-    let none = Cover { copies: 0, old_count: 0, endpoints: 4, calls_per_copy: 1 };
-    assert!(matches!(none.measure(1), Err(CoverError::Empty)));
+    let no_copies = CoverageModel { copies: 0, old_count: 0, endpoints: 4, calls_per_copy: 1 };
+    assert!(matches!(no_copies.measure(1), Err(CoverageError::ZeroSize)));
 }
--- a/scale/tests/fit.rs
+++ b/scale/tests/fit.rs
@@ -6,33 +6,33 @@
     values.iter().map(|(x, y)| Point { x: *x, y: *y }).collect()
 }
 
-fn near(value: f64, expected: f64) {
+fn assert_near(value: f64, expected: f64) {
     assert!((value - expected).abs() < 1e-9, "{value} is not {expected}");
 }
 
 #[test]
-fn a_line_is_found_again() {
+fn an_exact_line_is_recovered() {
     let fit = Fit::of(&points(&[(1.0, 5.0), (2.0, 7.0), (4.0, 11.0), (10.0, 23.0)])).expect("a line");
-    near(fit.slope, 2.0);
-    near(fit.intercept, 3.0);
-    near(fit.residual_rms, 0.0);
-    near(fit.residual_relative.expect("no point is 0"), 0.0);
+    assert_near(fit.slope, 2.0);
+    assert_near(fit.intercept, 3.0);
+    assert_near(fit.residual_rms, 0.0);
+    assert_near(fit.residual_relative.expect("no point is 0"), 0.0);
 }
 
 #[test]
-fn residuals_tell_how_far_points_are_from_the_line() {
+fn residuals_are_the_distances_of_points_from_the_line() {
     // The line is y = 2; the points are 1 from it.
     let fit = Fit::of(&points(&[(0.0, 1.0), (1.0, 3.0), (2.0, 3.0), (3.0, 1.0)])).expect("a line");
-    near(fit.slope, 0.0);
-    near(fit.intercept, 2.0);
-    near(fit.residual_rms, 1.0);
-    near(fit.residual_relative.expect("no point is 0"), 1.0);
+    assert_near(fit.slope, 0.0);
+    assert_near(fit.intercept, 2.0);
+    assert_near(fit.residual_rms, 1.0);
+    assert_near(fit.residual_relative.expect("no point is 0"), 1.0);
     let with_zero = Fit::of(&points(&[(0.0, 0.0), (1.0, 1.0), (2.0, 2.0)])).expect("a line");
     assert_eq!(with_zero.residual_relative, None);
 }
 
 #[test]
-fn one_size_or_no_number_is_no_line() {
+fn a_single_size_or_a_nan_gives_no_line() {
     assert_eq!(Fit::of(&points(&[])), None);
     assert_eq!(Fit::of(&points(&[(1.0, 2.0), (1.0, 3.0)])), None);
     assert_eq!(Fit::of(&points(&[(1.0, 2.0), (2.0, f64::NAN)])), None);
--- a/scale/tests/plan.rs
+++ b/scale/tests/plan.rs
@@ -27,11 +27,11 @@
     (Plan::draw(&scenario, &topology), topology)
 }
 
-fn times(plan: &Plan, wanted: impl Fn(&Action) -> bool) -> Vec<Duration> {
+fn step_times(plan: &Plan, wanted: impl Fn(&Action) -> bool) -> Vec<Duration> {
     plan.steps.iter().filter(|step| wanted(&step.action)).map(|step| step.at).collect()
 }
 
-fn silenced(plan: &Plan) -> Vec<NodeId> {
+fn silenced_nodes(plan: &Plan) -> Vec<NodeId> {
     let nodes = plan.steps.iter().filter_map(|step| match step.action {
         Action::Silence(node, true) => Some(node),
         _ => None,
@@ -42,7 +42,7 @@
 const SECOND: Duration = Duration::from_secs(1);
 
 #[test]
-fn the_same_seed_gives_the_same_plan_and_another_one_another() {
+fn a_plan_depends_on_the_seed_alone() {
     let faults = "fault=[{ kind = 'machine-lost', at_s = 3, for_s = 5, count = 4 }, { kind = 'restart', at_s = 9, count = 3 }]";
     let changes = [faults, "changes.lists_per_s=5", "control.padding_entries=10"];
     let (plan, _) = draw(&changes);
@@ -52,7 +52,7 @@
 }
 
 #[test]
-fn a_restart_is_drained_gone_stopped_and_ready_again_before_the_next_one() {
+fn a_restart_drains_removes_stops_and_readies_a_node_before_the_next_one() {
     let (plan, _) = draw(&["fault=[{ kind = 'restart', at_s = 3, count = 2 }]"]);
     let actions: Vec<Action> = plan.steps.iter().map(|step| step.action).collect();
     let Action::Publish(first, _) = actions[0] else { panic!("{actions:?}") };
@@ -73,21 +73,22 @@
 }
 
 #[test]
-fn control_notices_a_lost_machine_late_and_lists_it_when_it_is_back() {
+fn control_removes_a_lost_machine_late_and_lists_it_when_it_is_back() {
     let (plan, _) = draw(&["fault=[{ kind = 'machine-lost', at_s = 3, for_s = 6, count = 5 }]"]);
-    assert_eq!(silenced(&plan).len(), 5);
-    let gone = times(&plan, |action| matches!(action, Action::Publish(_, NodeStatus::Gone)));
+    assert_eq!(silenced_nodes(&plan).len(), 5);
+    let gone = step_times(&plan, |action| matches!(action, Action::Publish(_, NodeStatus::Gone)));
     assert_eq!(gone.len(), 5);
     assert!(gone.iter().all(|at| (4 * SECOND..7 * SECOND).contains(at)), "{gone:?}");
-    let back = times(&plan, |action| matches!(action, Action::Restart(_) | Action::Silence(_, false)));
+    let back = step_times(&plan, |action| matches!(action, Action::Restart(_) | Action::Silence(_, false)));
     assert_eq!(back, [9 * SECOND; 10]);
-    let ready =
-        times(&plan, |action| matches!(action, Action::Publish(_, NodeStatus::Ready { restarted: true })));
+    let ready = step_times(&plan, |action| {
+        matches!(action, Action::Publish(_, NodeStatus::Ready { restarted: true }))
+    });
     assert!(ready.len() == 5 && ready.iter().all(|at| *at > 9 * SECOND), "{ready:?}");
 }
 
 #[test]
-fn a_machine_that_does_not_come_back_is_gone_for_good() {
+fn a_machine_that_does_not_come_back_stays_off_the_list() {
     let (plan, _) = draw(&["fault=[{ kind = 'machine-lost', at_s = 3 }]"]);
     let [Step { action: Action::Silence(node, true), .. }, Step { action, .. }] = plan.steps[..] else {
         panic!("{plan:?}");
@@ -97,51 +98,53 @@
 }
 
 #[test]
-fn a_lost_zone_is_all_of_it_and_a_rack_a_tenth() {
+fn zone_loss_silences_the_whole_zone_and_rack_loss_a_tenth() {
     let (plan, topology) = draw(&["fault=[{ kind = 'zone-lost', at_s = 3, for_s = 6, place = 2 }]"]);
     let in_zone = |node: &NodeId| topology.nodes[node.0].zone == ZoneId(2);
     let zone: Vec<NodeId> = (0..topology.nodes.len()).map(NodeId).filter(in_zone).collect();
-    assert_eq!(silenced(&plan), zone);
+    assert_eq!(silenced_nodes(&plan), zone);
     let (plan, _) = draw(&["fault=[{ kind = 'rack-lost', at_s = 3, for_s = 6, place = 2 }]"]);
-    let rack = silenced(&plan);
+    let rack = silenced_nodes(&plan);
     assert_eq!(rack.len(), zone.len().div_ceil(10));
     assert!(rack.iter().all(in_zone));
 }
 
 #[test]
-fn a_release_meets_its_share_of_each_service_within_its_time() {
+fn a_release_restarts_its_share_of_each_service_in_its_duration() {
     let (plan, topology) = draw(&["fault=[{ kind = 'release', at_s = 3, for_s = 20, count = 50 }]"]);
     for service in &topology.services {
-        let restarted =
-            times(&plan, |action| matches!(action, Action::Restart(node) if service.nodes.contains(node)));
+        let restarted = step_times(
+            &plan,
+            |action| matches!(action, Action::Restart(node) if service.nodes.contains(node)),
+        );
         assert_eq!(restarted.len(), service.nodes.len().div_ceil(2), "{}", service.name);
     }
     assert!(plan.steps.iter().all(|step| step.at >= 3 * SECOND && step.at <= 23 * SECOND));
 }
 
 #[test]
-fn a_cut_silences_just_the_nodes_beyond_it_until_its_end() {
+fn a_region_cut_silences_only_nodes_on_the_other_side_until_its_end() {
     let (plan, topology) = draw(&["fault=[{ kind = 'region-cut', at_s = 3, for_s = 6, place = 1 }]"]);
-    let beyond = silenced(&plan);
+    let other_side = silenced_nodes(&plan);
     for service in topology.services.iter().filter(|service| service.carrier == Carrier::Real) {
         let copy = topology.region(topology.copies[service.copies[0].0].zone);
         for node in &service.nodes {
-            let apart = topology.region(topology.nodes[node.0].zone) != copy;
-            assert_eq!(beyond.contains(node), apart, "{}", topology.nodes[node.0].name);
+            let is_cut_off = topology.region(topology.nodes[node.0].zone) != copy;
+            assert_eq!(other_side.contains(node), is_cut_off, "{}", topology.nodes[node.0].name);
         }
     }
-    assert_eq!(beyond.len(), 4, "half of the two balancers' eight nodes");
-    assert_eq!(times(&plan, |action| *action == Action::CutRegion(RegionId(1))), [3 * SECOND]);
-    assert_eq!(times(&plan, |action| *action == Action::RejoinRegion(RegionId(1))), [9 * SECOND]);
-    assert_eq!(times(&plan, |action| matches!(action, Action::Silence(_, false))), [9 * SECOND; 4]);
+    assert_eq!(other_side.len(), 4, "half of the two balancers' eight nodes");
+    assert_eq!(step_times(&plan, |action| *action == Action::CutRegion(RegionId(1))), [3 * SECOND]);
+    assert_eq!(step_times(&plan, |action| *action == Action::RejoinRegion(RegionId(1))), [9 * SECOND]);
+    assert_eq!(step_times(&plan, |action| matches!(action, Action::Silence(_, false))), [9 * SECOND; 4]);
 }
 
 #[test]
-fn replicas_watches_and_balancers_have_their_faults() {
+fn faults_of_replicas_watches_and_balancers_give_their_actions() {
     let (plan, _) = draw(&["fault=[{ kind = 'control-lost', at_s = 3, for_s = 6, place = 1, count = 2 }]"]);
     for replica in [1, 2] {
-        assert_eq!(times(&plan, |action| *action == Action::StopReplica(replica)), [3 * SECOND]);
-        assert_eq!(times(&plan, |action| *action == Action::StartReplica(replica)), [9 * SECOND]);
+        assert_eq!(step_times(&plan, |action| *action == Action::StopReplica(replica)), [3 * SECOND]);
+        assert_eq!(step_times(&plan, |action| *action == Action::StartReplica(replica)), [9 * SECOND]);
     }
     assert_eq!(plan.steps.len(), 4);
     let (plan, _) = draw(&["fault=[{ kind = 'watches-broken', at_s = 3 }]"]);
@@ -155,16 +158,16 @@
 }
 
 #[test]
-fn changes_come_at_their_rate_and_settings_at_their_times() {
+fn list_changes_follow_their_rate_and_settings_their_times() {
     let (plan, _) =
         draw(&["changes.lists_per_s=20", "control.padding_entries=5", "changes.settings_at_s=[2, 30]"]);
-    assert_eq!(times(&plan, |action| *action == Action::NewSettings), [2 * SECOND, 30 * SECOND]);
-    let weights = times(&plan, |action| matches!(action, Action::Weight(..))).len();
-    let padding = times(&plan, |action| matches!(action, Action::Padding(_, 0..5, _))).len();
+    assert_eq!(step_times(&plan, |action| *action == Action::NewSettings), [2 * SECOND, 30 * SECOND]);
+    let weights = step_times(&plan, |action| matches!(action, Action::Weight(..))).len();
+    let padding = step_times(&plan, |action| matches!(action, Action::Padding(_, 0..5, _))).len();
     // 800 in the mean with a standard deviation of 28; the seed is fixed.
     assert!((700..900).contains(&(weights + padding)), "{weights} and {padding}");
     assert!(padding > 300 && weights > 300, "{weights} and {padding}");
     assert!(plan.steps.iter().all(|step| step.at < 40 * SECOND));
     let (plan, _) = draw(&["changes.lists_per_s=20"]);
-    assert!(times(&plan, |action| matches!(action, Action::Padding(..))).is_empty());
+    assert!(step_times(&plan, |action| matches!(action, Action::Padding(..))).is_empty());
 }
--- a/scale/tests/quick.rs
+++ b/scale/tests/quick.rs
@@ -9,7 +9,7 @@
 
 fn quick() -> Scenario {
     let file = Path::new(env!("CARGO_MANIFEST_DIR")).join("scenarios/quick.toml");
-    let changes = [
+    let overrides = [
         "duration_s=8",
         "fleet.services=3",
         "fleet.hollow=24",
@@ -21,7 +21,7 @@
         "fault.0.count=1",
         "fault.1.at_s=5",
     ];
-    load(&file, &changes.map(str::to_owned)).expect("a scenario")
+    load(&file, &overrides.map(str::to_owned)).expect("a scenario")
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -33,11 +33,15 @@
     for counts in [report.all, report.real_calls, report.hollow_calls] {
         assert!(counts.calls > 0 && counts.served > 0, "{counts:?}");
         assert_eq!(counts.lost, 0, "{counts:?}");
-        assert_eq!(counts.calls, counts.served + counts.refused + counts.failed + counts.left, "{counts:?}");
+        assert_eq!(
+            counts.calls,
+            counts.served + counts.refused + counts.failed + counts.client_left,
+            "{counts:?}"
+        );
     }
     assert_eq!((report.duplicated, report.cold_falls, report.hollow_open_calls), (0, 0, Some(0)));
-    assert!(report.list_changes > 0 && report.told_s.is_some() && report.in_force_s.is_some());
-    assert_eq!(report.lists_behind, Some(0), "copies without the latest list");
+    assert!(report.list_changes > 0 && report.list_delivery_s.is_some() && report.list_in_force_s.is_some());
+    assert_eq!(report.balancers_with_stale_list, Some(0), "copies without the latest list");
     assert_eq!(report.recovery_s.len(), 2);
     assert!(report.memory_mb.is_some() && report.control_bytes_per_s.is_some());
 }
--- a/scale/tests/report.rs
+++ b/scale/tests/report.rs
@@ -29,20 +29,20 @@
     Run {
         scenario,
         start: Some(start),
-        played_s: 10.0,
+        load_duration_s: 10.0,
         faults: Vec::new(),
-        control: Vec::new(),
+        control_usage: Vec::new(),
         hollow_core_s: 2.0,
-        lists_behind: None,
+        balancers_with_stale_list: None,
         hollow_end: None,
-        tool: None,
-        ended_early: None,
+        tool_usage: None,
+        partial_reason: None,
     }
 }
 
-fn call(start: Instant, due_ms: u64, carrier: Carrier, hops: u32, end: CallEnd, took_ms: u64) -> Call {
+fn call(start: Instant, arrival_ms: u64, carrier: Carrier, hops: u32, end: CallEnd, took_ms: u64) -> Call {
     let latency = Duration::from_millis(took_ms);
-    Call { carrier, hops, end, latency, ended_at: start + Duration::from_millis(due_ms) + latency }
+    Call { carrier, hops, end, latency, ended_at: start + Duration::from_millis(arrival_ms) + latency }
 }
 
 fn as_json(report: &Report) -> Value {
@@ -76,7 +76,7 @@
 }
 
 #[test]
-fn what_a_balancer_adds_is_the_difference_of_the_same_percentiles() {
+fn added_latency_is_the_difference_of_the_same_percentiles() {
     let (scenario, start, record) = (scenario(&[]), Instant::now(), Record::default());
     for number in 1..=1000 {
         record.measured().one_hop_latency_us.add(Duration::from_micros(number + 300));
@@ -92,7 +92,7 @@
 }
 
 #[test]
-fn attempts_are_told_by_hop_and_from_first_to_deepest() {
+fn attempts_are_reported_by_hop_and_from_first_to_deepest() {
     let (scenario, start, record) = (scenario(&[]), Instant::now(), Record::default());
     for _ in 0..10 {
         record.add_call(call(start, 0, Carrier::Hollow, 2, CallEnd::Served, 1));
@@ -112,16 +112,16 @@
 }
 
 #[test]
-fn processes_and_control_are_told_by_copy() {
+fn process_and_control_usage_is_reported_by_balancer() {
     let (start, record) = (Instant::now(), Record::default());
-    let looks = [(4, 1.0, 10.0), (4, 3.0, 12.0), (5, 4.0, 8.0), (5, 8.0, 10.0)];
-    for (copy, core, memory) in looks {
+    let samples = [(4, 1.0, 10.0), (4, 3.0, 12.0), (5, 4.0, 8.0), (5, 8.0, 10.0)];
+    for (copy, core, memory) in samples {
         record.measured().process_samples.push((CopyId(copy), usage(core, memory)));
     }
     let idle = scenario(&["load.real_calls_per_s=0"]);
     let control = [1000, 2000, 6000].map(|bytes| ControlUsage { bytes, calls: 2, rejected_calls: 1 });
     let measure = |scenario: &Scenario| {
-        let run = Run { control: control.to_vec(), ..run(scenario, start) };
+        let run = Run { control_usage: control.to_vec(), ..run(scenario, start) };
         as_json(&Report::of(&run, &record.measured()))
     };
     let report = measure(&idle);
@@ -137,7 +137,7 @@
 }
 
 #[test]
-fn delays_are_told_in_seconds_with_the_copies_that_missed_them() {
+fn delays_are_reported_in_seconds_with_the_balancers_that_missed_them() {
     let (scenario, start, record) = (scenario(&[]), Instant::now(), Record::default());
     for ms in [100, 200, 4000] {
         record.measured().list_delivery_us.add(Duration::from_millis(ms));
@@ -145,24 +145,24 @@
     }
     record.measured().settings_missed = 2;
     let report = as_json(&Report::of(&run(&scenario, start), &record.measured()));
-    let near = |value: &Value, expected: f64| {
+    let assert_near = |value: &Value, expected: f64| {
         let value = value.as_f64().expect("a number");
         assert!((value - expected).abs() <= expected / 500.0, "{value} is not about {expected}");
     };
-    near(&report["told_s"]["p50"], 0.2);
-    near(&report["told_s"]["max"], 4.0);
-    near(&report["settings_in_force_s"]["p99"], 4.0);
+    assert_near(&report["told_s"]["p50"], 0.2);
+    assert_near(&report["told_s"]["max"], 4.0);
+    assert_near(&report["settings_in_force_s"]["p99"], 4.0);
     assert_eq!(report["settings_in_force_s"]["missed"], 2);
     assert_eq!(report["in_force_s"], Value::Null);
 }
 
 /// 100 calls a second, all served but between two times, where `share` is.
-fn dip(from_s: f64, to_s: f64, share: f64) -> ServedShare {
-    let mut shares = ServedShare::over(10.0, 1.0);
+fn dipped_share(from_s: f64, to_s: f64, share: f64) -> ServedShare {
+    let mut shares = ServedShare::new(10.0, 1.0);
     for number in 0..1000 {
-        let due_s = f64::from(number) / 100.0;
-        let dipped = due_s >= from_s && due_s < to_s;
-        shares.add(due_s, !dipped || f64::from(number % 10) / 10.0 < share);
+        let arrival_s = f64::from(number) / 100.0;
+        let in_dip = arrival_s >= from_s && arrival_s < to_s;
+        shares.add(arrival_s, !in_dip || f64::from(number % 10) / 10.0 < share);
     }
     shares
 }
@@ -172,40 +172,45 @@
 }
 
 #[test]
-fn recovery_is_from_the_end_of_a_fault_to_a_served_share_that_holds() {
-    let recovery = dip(3.0, 5.0, 0.5).recovery(fault(3.0, 4.0));
+fn recovery_lasts_from_the_end_of_a_fault_until_the_served_share_stays_up() {
+    let recovery = dipped_share(3.0, 5.0, 0.5).recovery(fault(3.0, 4.0));
     assert_eq!(recovery.share_before, Some(1.0));
     assert_eq!(recovery.lowest_share, Some(0.5));
-    let back = recovery.recovery_s.expect("it came back");
-    assert!((1.8..=2.1).contains(&back), "the second after 5.0 s holds no more failures: {back}");
+    let recovery_s = recovery.recovery_s.expect("it came back");
+    assert!((1.8..=2.1).contains(&recovery_s), "the second after 5.0 s holds no more failures: {recovery_s}");
 }
 
 #[test]
-fn calls_that_a_fault_met_on_their_way_do_not_count_as_before_it() {
+fn calls_in_flight_when_a_fault_begins_are_not_part_of_the_share_before_it() {
     // Those due in the second before the fault are caught by it, as they take up to a second.
-    let recovery = dip(2.0, 5.0, 0.5).recovery(fault(3.0, 4.0));
+    let recovery = dipped_share(2.0, 5.0, 0.5).recovery(fault(3.0, 4.0));
     assert_eq!(recovery.share_before, Some(1.0));
-    let back = recovery.recovery_s.expect("it came back");
-    assert!((1.8..=2.1).contains(&back), "{back}");
+    let recovery_s = recovery.recovery_s.expect("it came back");
+    assert!((1.8..=2.1).contains(&recovery_s), "{recovery_s}");
 }
 
 #[test]
-fn a_fault_that_nothing_suffers_from_is_recovered_from_at_once() {
-    assert_eq!(dip(0.0, 0.0, 1.0).recovery(fault(3.0, 4.0)).recovery_s, Some(0.0));
+fn a_fault_without_effect_has_a_recovery_time_of_zero() {
+    assert_eq!(dipped_share(0.0, 0.0, 1.0).recovery(fault(3.0, 4.0)).recovery_s, Some(0.0));
 }
 
 #[test]
-fn a_share_that_does_not_hold_is_no_recovery() {
-    assert_eq!(dip(3.0, 8.5, 0.5).recovery(fault(3.0, 4.0)).recovery_s, None);
-    assert_eq!(dip(0.0, 0.0, 1.0).recovery(fault(9.0, 9.0)).recovery_s, None, "too near to the end to tell");
-    assert_eq!(ServedShare::over(10.0, 1.0).recovery(fault(3.0, 4.0)).recovery_s, None, "nothing was called");
+fn a_served_share_that_drops_again_is_no_recovery() {
+    assert_eq!(dipped_share(3.0, 8.5, 0.5).recovery(fault(3.0, 4.0)).recovery_s, None);
+    assert_eq!(
+        dipped_share(0.0, 0.0, 1.0).recovery(fault(9.0, 9.0)).recovery_s,
+        None,
+        "too near to the end to tell"
+    );
+    assert_eq!(ServedShare::new(10.0, 1.0).recovery(fault(3.0, 4.0)).recovery_s, None, "nothing was called");
 }
 
 #[test]
-fn a_run_that_ended_early_says_so() {
+fn a_run_that_ended_early_is_reported_as_partial() {
     let (scenario, record) = (scenario(&[]), Record::default());
-    let early = Some("real-0 ended: signal 9".to_owned());
-    let run = Run { start: None, played_s: 0.0, ended_early: early, ..run(&scenario, Instant::now()) };
+    let reason = Some("real-0 ended: signal 9".to_owned());
+    let run =
+        Run { start: None, load_duration_s: 0.0, partial_reason: reason, ..run(&scenario, Instant::now()) };
     let report = Report::of(&run, &record.measured());
     let json = as_json(&report);
     assert_eq!(
@@ -214,14 +219,14 @@
     );
     assert_eq!(json["partial_reason"], "real-0 ended: signal 9");
     assert_eq!([&json["hollow_core_percent"], &json["control_bytes_per_s"]], [&Value::Null, &Value::Null]);
-    assert!(table::of_report(&report).to_string().contains("partial: real-0 ended: signal 9"));
+    assert!(table::report_table(&report).to_string().contains("partial: real-0 ended: signal 9"));
 }
 
 #[test]
 fn the_table_is_aligned() {
     let (scenario, start, record) = (scenario(&[]), Instant::now(), Record::default());
     record.add_call(call(start, 100, Carrier::Real, 1, CallEnd::Served, 4));
-    let text = table::of_report(&Report::of(&run(&scenario, start), &record.measured())).to_string();
+    let text = table::report_table(&Report::of(&run(&scenario, start), &record.measured())).to_string();
     let heading = text.lines().find(|line| line.trim_start().starts_with("calls")).expect("a heading");
     let row = text.lines().find(|line| line.starts_with("all calls")).expect("a row");
     let (calls, served) = (heading.find("calls").expect("calls"), heading.find("served").expect("served"));
--- a/scale/tests/scenario.rs
+++ b/scale/tests/scenario.rs
@@ -29,54 +29,54 @@
 at_s = 3.0
 "#;
 
-fn with(overrides: &[&str]) -> Result<Scenario, ScenarioError> {
+fn plain_with(overrides: &[&str]) -> Result<Scenario, ScenarioError> {
     let overrides: Vec<String> = overrides.iter().map(|text| (*text).to_owned()).collect();
     parse(Path::new(FILE), PLAIN, &overrides)
 }
 
-/// What is said of the plain scenario with one change: `file: key: reason`.
-fn complaint(change: &str) -> String {
-    match with(&[change]) {
+/// What is error of the plain scenario with one change: `file: key: reason`.
+fn error_text(change: &str) -> String {
+    match plain_with(&[change]) {
         Ok(_) => panic!("{change} makes sense"),
         Err(error) => error.to_string(),
     }
 }
 
-fn shipped() -> Vec<PathBuf> {
+fn shipped_scenarios() -> Vec<PathBuf> {
     let folder = Path::new(env!("CARGO_MANIFEST_DIR")).join("scenarios");
     let entries = fs::read_dir(folder).expect("the folder of scenarios");
     entries.map(|entry| entry.expect("an entry").path()).collect()
 }
 
 #[test]
-fn each_key_without_sense_is_named_with_file_and_reason() {
+fn each_invalid_value_is_reported_with_file_key_and_reason() {
     let cases = [
-        ("duration_s=0", "duration_s", "is 0, which is not from"),
-        ("duration_s=-1", "duration_s", "is -1, which is not from"),
+        ("duration_s=0", "duration_s", "is 0, but must be from"),
+        ("duration_s=-1", "duration_s", "is -1, but must be from"),
         ("duration_s=inf", "duration_s", "is not a finite number"),
         ("load.real_calls_per_s=nan", "load.real_calls_per_s", "is not a finite number"),
-        ("duration_s=1e9", "duration_s", "which is not from"),
-        ("ready_within_s=0", "ready_within_s", "which is not from"),
-        ("fleet.real=191", "fleet.real", "is 191, which is not from 0 to 190"),
-        ("fleet.zones=1", "fleet.zones", "is 1, which is not from 2"),
-        ("fleet.regions=0", "fleet.regions", "is 0, which is not from 1"),
+        ("duration_s=1e9", "duration_s", "but must be from"),
+        ("ready_within_s=0", "ready_within_s", "but must be from"),
+        ("fleet.real=191", "fleet.real", "is 191, but must be from 0 to 190"),
+        ("fleet.zones=1", "fleet.zones", "is 1, but must be from 2"),
+        ("fleet.regions=0", "fleet.regions", "is 0, but must be from 1"),
         ("fleet.zones=5", "fleet.zones", "not spread evenly"),
         ("fleet.hollow=3", "fleet.hollow", "two hollow copies at least"),
-        ("load.hollow_calls_per_s=-1", "load.hollow_calls_per_s", "which is not from 0"),
-        ("load.unsafe_share=1.5", "load.unsafe_share", "is 1.5, which is not from 0 to 1"),
-        ("load.depths.0.hops=0", "load.depths.0.hops", "is 0, which is not from 1 to 64"),
-        ("load.depths.1.hops=65", "load.depths.1.hops", "is 65, which is not from 1 to 64"),
+        ("load.hollow_calls_per_s=-1", "load.hollow_calls_per_s", "but must be from 0"),
+        ("load.unsafe_share=1.5", "load.unsafe_share", "is 1.5, but must be from 0 to 1"),
+        ("load.depths.0.hops=0", "load.depths.0.hops", "is 0, but must be from 1 to 64"),
+        ("load.depths.1.hops=65", "load.depths.1.hops", "is 65, but must be from 1 to 64"),
         ("load.depths.1.share=0.4", "load.depths", "add up to 0.9, not to 1"),
         ("load.depths=[]", "load.depths", "add up to"),
-        ("load.deadline_s=0", "load.deadline_s", "which is not from"),
-        ("node.error_share=-0.1", "node.error_share", "which is not from 0 to 1"),
-        ("node.work_ms=0", "node.work_ms", "which is not from"),
-        ("control.replicas=4", "control.replicas", "is 4, which is not from 1 to 3"),
-        ("control.calls_per_s=0", "control.calls_per_s", "which is not from"),
+        ("load.deadline_s=0", "load.deadline_s", "but must be from"),
+        ("node.error_share=-0.1", "node.error_share", "but must be from 0 to 1"),
+        ("node.work_ms=0", "node.work_ms", "but must be from"),
+        ("control.replicas=4", "control.replicas", "is 4, but must be from 1 to 3"),
+        ("control.calls_per_s=0", "control.calls_per_s", "but must be from"),
         ("changes.settings_at_s=[1, 11]", "changes.settings_at_s.1", "ends at 11 s, after the load's 10 s"),
         ("fault.0.at_s=11", "fault.0.at_s", "ends at 11 s, after the load's 10 s"),
         ("fault.0.for_s=8", "fault.0.for_s", "ends at 11 s, after the load's 10 s"),
-        ("fault.0.count=0", "fault.0.count", "is 0, which is not from 1"),
+        ("fault.0.count=0", "fault.0.count", "is 0, but must be from 1"),
         ("fault.0.count=19", "fault.0.count", "there are 18 nodes"),
         ("fault.0.count=3", "fault.0.count", "ends at 10.2 s, after the load's 10 s"),
         ("fault.0={ kind = 'release', at_s = 1, for_s = 2 }", "fault.0.for_s", "shorter than one restart"),
@@ -91,14 +91,14 @@
         ("fault.0={ kind = 'balancer-killed', at_s = 1, count = 3 }", "fault.0.count", "2 real balancers"),
     ];
     for (change, key, reason) in cases {
-        let said = complaint(change);
-        assert!(said.starts_with(&format!("{FILE}: {key}: ")), "{change}: {said}");
-        assert!(said.contains(reason), "{change}: {said}");
+        let error = error_text(change);
+        assert!(error.starts_with(&format!("{FILE}: {key}: ")), "{change}: {error}");
+        assert!(error.contains(reason), "{change}: {error}");
     }
 }
 
 #[test]
-fn unknown_keys_and_values_of_another_type_are_named() {
+fn unknown_keys_and_values_of_the_wrong_type_are_reported() {
     let cases = [
         ("fleet.hollo=3", "fleet.hollo", "unknown field `hollo`"),
         ("fault.0.when=3", "fault.0.when", "unknown field `when`"),
@@ -108,31 +108,31 @@
         ("fault.0.kind=fire", "fault.0.kind", "unknown variant `fire`"),
     ];
     for (change, key, reason) in cases {
-        let said = complaint(change);
-        assert!(said.starts_with(&format!("{FILE}: {key}: ")), "{change}: {said}");
-        assert!(said.contains(reason), "{change}: {said}");
+        let error = error_text(change);
+        assert!(error.starts_with(&format!("{FILE}: {key}: ")), "{change}: {error}");
+        assert!(error.contains(reason), "{change}: {error}");
     }
 }
 
 #[test]
-fn a_text_that_is_no_scenario_is_named_by_line_or_missing_key() {
+fn text_that_is_not_a_scenario_is_reported_with_line_or_missing_key() {
     let cases = [
         ("name = \"a\"\nduration_s = = 3\n", "line 2"),
         ("name = \"a\"\n", "missing field `duration_s`"),
         ("name = \"a\"\nname = \"b\"\n", "duplicate key"),
     ];
     for (text, reason) in cases {
-        let said = parse(Path::new(FILE), text, &[]).expect_err("no scenario").to_string();
-        assert!(said.starts_with(FILE), "{said}");
-        assert!(said.contains(reason), "{said}");
+        let error = parse(Path::new(FILE), text, &[]).expect_err("no scenario").to_string();
+        assert!(error.starts_with(FILE), "{error}");
+        assert!(error.contains(reason), "{error}");
     }
-    let said = load(Path::new("no/such.toml"), &[]).expect_err("no file").to_string();
-    assert!(said.starts_with("no/such.toml: cannot be read"), "{said}");
+    let error = load(Path::new("no/such.toml"), &[]).expect_err("no file").to_string();
+    assert!(error.starts_with("no/such.toml: cannot be read"), "{error}");
 }
 
 #[test]
-fn overrides_go_before_the_file() {
-    let scenario = with(&[
+fn overrides_take_precedence_over_the_file() {
+    let scenario = plain_with(&[
         "fleet.hollow=200",
         "fault.0.at_s=4",
         "load.depths.1.hops=9",
@@ -150,7 +150,7 @@
 }
 
 #[test]
-fn overrides_without_a_place_are_named() {
+fn overrides_with_an_invalid_path_are_reported() {
     let cases = [
         ("fleet.hollow", "fleet.hollow", "has no value"),
         ("fleet..hollow=1", "fleet..hollow", "empty name"),
@@ -160,43 +160,44 @@
         ("fault.first.at_s=1", "fault.first", "named by its number"),
     ];
     for (change, key, reason) in cases {
-        let said = complaint(change);
-        assert!(said.starts_with(&format!("{FILE}: {key}: ")), "{change}: {said}");
-        assert!(said.contains(reason), "{change}: {said}");
+        let error = error_text(change);
+        assert!(error.starts_with(&format!("{FILE}: {key}: ")), "{change}: {error}");
+        assert!(error.contains(reason), "{change}: {error}");
     }
 }
 
 #[test]
-fn a_value_cannot_smuggle_in_a_second_key() {
-    let scenario = with(&["name=\"a\"\nduration_s = 5"]).expect("a scenario");
+fn an_override_value_cannot_set_a_second_key() {
+    let scenario = plain_with(&["name=\"a\"\nduration_s = 5"]).expect("a scenario");
     assert_eq!(scenario.duration_s, 10.0);
     assert_eq!(scenario.name, "\"a\"\nduration_s = 5");
 }
 
 #[test]
-fn more_than_the_machine_has_is_named() {
-    let scenario = with(&["fleet.real=10", "fleet.memory_mb=100", "fleet.sockets=1000"]).expect("a scenario");
+fn needs_above_the_limits_of_the_machine_are_reported() {
+    let scenario =
+        plain_with(&["fleet.real=10", "fleet.memory_mb=100", "fleet.sockets=1000"]).expect("a scenario");
     let check = |machine: Machine| {
         check_machine(Path::new(FILE), &scenario, &machine).map_err(|error| error.to_string())
     };
-    let ample = Machine { memory_mb: 4096, descriptors: 20_000 };
-    assert_eq!(check(ample), Ok(()));
-    let said = check(Machine { memory_mb: 2000, ..ample }).expect_err("too little memory");
-    assert!(said.starts_with(&format!("{FILE}: fleet.memory_mb: needs ")), "{said}");
-    assert!(said.ends_with("this machine allows 1000"), "{said}");
-    let said = check(Machine { descriptors: 10_000, ..ample }).expect_err("too few descriptors");
-    assert!(said.starts_with(&format!("{FILE}: fleet.sockets: needs ")), "{said}");
+    let large_machine = Machine { memory_mb: 4096, descriptors: 20_000 };
+    assert_eq!(check(large_machine), Ok(()));
+    let error = check(Machine { memory_mb: 2000, ..large_machine }).expect_err("too little memory");
+    assert!(error.starts_with(&format!("{FILE}: fleet.memory_mb: needs ")), "{error}");
+    assert!(error.ends_with("this machine allows 1000"), "{error}");
+    let error = check(Machine { descriptors: 10_000, ..large_machine }).expect_err("too few descriptors");
+    assert!(error.starts_with(&format!("{FILE}: fleet.sockets: needs ")), "{error}");
 }
 
 #[test]
-fn this_machine_tells_its_limits() {
-    let machine = Machine::look().expect("a kernel that tells");
+fn the_limits_of_this_machine_are_readable() {
+    let machine = Machine::detect().expect("a kernel that tells");
     assert!(machine.memory_mb > 0 && machine.descriptors > 0);
 }
 
 #[test]
-fn every_shipped_scenario_makes_sense() {
-    let files = shipped();
+fn every_shipped_scenario_is_valid() {
+    let files = shipped_scenarios();
     assert!(files.len() >= 8, "{files:?}");
     for file in files {
         if let Err(error) = load(&file, &[]) {
