--- a/scale/src/cli.rs
+++ b/scale/src/cli.rs
@@ -21,94 +21,94 @@
 use crate::slopes::{self, SlopeKind, SlopeScenarioError};
 use crate::table::{self, Table};
 
-/// The run is whole.
+/// Exit code of a run that completed.
 const EXIT_COMPLETE: u8 = 0;
-/// The run is partial or failed.
+/// Exit code of a run that ended early or failed.
 const EXIT_PARTIAL: u8 = 1;
-/// A scenario or an argument makes no sense; clap ends with the same code.
+/// Exit code for an invalid scenario or argument; clap exits with the same code.
 const EXIT_INVALID_INPUT: u8 = 2;
 
 /// Models a large fleet of balancers on one machine and measures it.
 #[derive(Debug, Parser)]
 #[command(name = "stilelead-scale", version, about)]
 pub struct Cli {
-    /// Form of the logs on standard error; RUST_LOG sets the level.
+    /// Format of the logs on standard error; RUST_LOG sets the level.
     #[arg(long, global = true, value_enum, default_value_t = LogFormat::Text)]
     log_format: LogFormat,
     #[command(subcommand)]
     command: Command,
 }
 
-/// Form of the logs.
+/// Format of the logs.
 #[derive(Debug, Clone, Copy, ValueEnum)]
 enum LogFormat {
     /// Lines for people.
     Text,
-    /// A JSON object a line.
+    /// One JSON object per line.
     Json,
 }
 
 #[derive(Debug, Subcommand)]
 enum Command {
-    /// Runs a scenario and prints its figures.
+    /// Runs a scenario and prints its measurements.
     Run {
         #[command(flatten)]
         source: ScenarioArgs,
-        /// Seed of all chance, before the scenario's.
+        /// Seed of all random numbers; takes precedence over the scenario's.
         #[arg(long)]
         seed: Option<u64>,
         /// File to which the report is written, in JSON.
         #[arg(long)]
         report: Option<PathBuf>,
     },
-    /// Measures what one more of something costs, each at four sizes or more, and fits a line.
+    /// Measures how cost grows with size: takes figures at four sizes or more and fits a line through them.
     Slopes {
-        /// Measures this one only; may be given several times.
+        /// Measures only this slope; may be given several times.
         #[arg(long, value_enum)]
         only: Vec<SlopeKind>,
-        /// Seed of all chance.
+        /// Seed of all random numbers.
         #[arg(long, default_value_t = 1)]
         seed: u64,
         /// File to which the report is written, in JSON.
         #[arg(long)]
         report: Option<PathBuf>,
     },
-    /// Counts how evenly the copies of a service cover its endpoints when some know an old count of copies.
+    /// Measures how evenly a service's balancers spread calls over its endpoints when some know an outdated count.
     Cover {
-        /// Copies that send.
+        /// Balancer instances that send calls.
         #[arg(long, default_value_t = 610)]
         copies: u32,
-        /// The count that the copies numbered below it were started with.
+        /// Instance count that the balancers with a number below it were started with; the others know the true count.
         #[arg(long, default_value_t = 610)]
         old_count: u32,
-        /// Endpoints that are ready.
+        /// Number of ready endpoints.
         #[arg(long, default_value_t = 610)]
         endpoints: u32,
-        /// Calls that each copy sends.
+        /// Calls that each balancer sends.
         #[arg(long, default_value_t = 500)]
         calls: u32,
-        /// Seed of all chance.
+        /// Seed of all random numbers.
         #[arg(long, default_value_t = 1)]
         seed: u64,
     },
-    /// Says whether a scenario makes sense and this machine can carry it, and starts nothing.
+    /// Checks whether a scenario is valid and fits this machine, without starting anything.
     Check {
         #[command(flatten)]
         source: ScenarioArgs,
     },
 }
 
-/// A scenario and what goes before it.
+/// A scenario file and the overrides of its values.
 #[derive(Debug, Args)]
 struct ScenarioArgs {
-    /// The scenario, in TOML.
+    /// Scenario file, in TOML.
     scenario: PathBuf,
-    /// Puts a value before the file's, by its dotted key: fleet.hollow=200, fault.0.at_s=3.
+    /// Overrides a value of the file by its dotted key: fleet.hollow=200, fault.0.at_s=3.
     #[arg(long = "set", value_name = "KEY=VALUE")]
     overrides: Vec<String>,
 }
 
-/// Why nothing was run, or what was run is not told.
+/// Why a command could not run, or why its results could not be written.
 #[derive(Debug, thiserror::Error)]
 enum CommandError {
     #[error(transparent)]
@@ -121,15 +121,15 @@
     Process(#[from] ProcessError),
     #[error(transparent)]
     Cover(#[from] CoverageError),
-    #[error("the runtime does not start: {0}")]
+    #[error("cannot start the async runtime: {0}")]
     Runtime(#[source] io::Error),
     #[error("--report {}: cannot be written: {cause}", file.display())]
     ReportFile { file: PathBuf, cause: io::Error },
     #[error("{}: cannot be written: {cause}", file.display())]
     Write { file: PathBuf, cause: io::Error },
-    #[error("standard output cannot be written: {0}")]
+    #[error("cannot write to standard output: {0}")]
     Stdout(#[source] io::Error),
-    #[error("the report cannot be put into JSON: {0}")]
+    #[error("cannot serialize the report as JSON: {0}")]
     Json(#[from] serde_json::Error),
 }
 
@@ -152,8 +152,8 @@
     }
 }
 
-/// Runs the program. Exit codes: 0 whole, 1 partial or a run that failed, 2 a scenario or argument that makes no
-/// sense.
+/// Runs the program. Exit codes: 0 for a complete run, 1 for a partial or failed one, 2 for an invalid scenario or
+/// argument.
 #[must_use]
 pub fn main() -> ExitCode {
     let cli = Cli::parse();
@@ -170,7 +170,7 @@
         match self {
             Self::Check { source } => {
                 let scenario = source.load()?;
-                info!(scenario = scenario.name, "makes sense");
+                info!(scenario = scenario.name, "scenario is valid");
                 Ok(EXIT_COMPLETE)
             }
             Self::Run { source, seed, report } => {
@@ -179,7 +179,12 @@
                 run_scenario(&scenario, report.as_deref())
             }
             Self::Cover { copies, old_count, endpoints, calls, seed } => {
-                let model = CoverageModel { copies, old_count, endpoints, calls_per_copy: calls };
+                let model = CoverageModel {
+                    balancers: copies,
+                    outdated_count: old_count,
+                    endpoints,
+                    calls_per_balancer: calls,
+                };
                 let distribution = serde_json::to_string(&model.measure(seed)?)?;
                 writeln!(io::stdout(), "{distribution}").map_err(CommandError::Stdout)?;
                 Ok(EXIT_COMPLETE)
@@ -214,7 +219,7 @@
     Ok(if report.partial { EXIT_PARTIAL } else { EXIT_COMPLETE })
 }
 
-/// Makes sure that the report can be written before anything is run for it.
+/// Checks that the report file can be written, so that a run does not fail only after its measurements.
 fn check_report_writable(file: Option<&Path>) -> Result<(), CommandError> {
     let Some(file) = file else { return Ok(()) };
     let open_result = fs::OpenOptions::new().create(true).append(true).open(file);
@@ -228,7 +233,7 @@
     result
 }
 
-/// Prints the table and writes the report. Both are tried, whatever becomes of the other.
+/// Prints the table and writes the report file. The file is written even if printing fails.
 fn write_results(table: &Table, report: &impl Serialize, file: Option<&Path>) -> Result<(), CommandError> {
     let print_result = write!(io::stdout(), "{table}").map_err(CommandError::Stdout);
     if let Some(file) = file {
--- a/scale/src/cover.rs
+++ b/scale/src/cover.rs
@@ -1,7 +1,7 @@
-//! How evenly the subsets of many copies cover the endpoints of a service, measured on the decisions themselves.
+//! Measures how evenly the subsets of many balancers cover the endpoints of a service, using the decision module.
 //!
-//! Each copy is a [`Balancer`] that is told its number and a count of copies, which may be old, and then asked to send a
-//! fixed number of calls, each of which is answered at once. What it sends to each endpoint is counted over all copies.
+//! Each one is a [`Balancer`] that knows its own number and a count of balancers, which may be outdated. It sends
+//! a fixed number of calls, and each of them is answered. Calls are counted by endpoint over all balancers.
 
 use std::time::Duration;
 
@@ -12,66 +12,66 @@
 };
 use stilelead_decision::{Action, Balancer, Event};
 
-/// Time between two calls of a copy.
+/// Time between two calls of a balancer.
 const CALL_INTERVAL: Duration = Duration::from_millis(20);
-/// Time that every call takes.
+/// Duration of every call.
 const CALL_DURATION: Duration = Duration::from_millis(5);
-/// When the first copy starts, on the clock of the decisions.
+/// Start of every balancer, on the clock of the decision module.
 const START_TIME: Duration = Duration::from_secs(3600);
 
-/// What each copy of a service has been told about the copies.
+/// A service's balancers, some of which know an outdated count of them.
 #[derive(Debug, Clone, Copy)]
 pub struct CoverageModel {
-    /// Copies that send.
-    pub copies: u32,
-    /// The count of copies that those numbered below it were started with; the others know the true one.
-    pub old_count: u32,
-    /// Endpoints that are ready.
+    /// Balancer instances that send calls.
+    pub balancers: u32,
+    /// Instance count that the balancers with a number below it were started with; the others know the true count.
+    pub outdated_count: u32,
+    /// Number of ready endpoints.
     pub endpoints: u32,
-    /// Calls that each copy sends.
-    pub calls_per_copy: u32,
+    /// Calls that each balancer sends.
+    pub calls_per_balancer: u32,
 }
 
-/// Calls over the endpoints.
+/// How calls were distributed over the endpoints.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize)]
 pub struct CallDistribution {
-    /// Most calls to one endpoint, over the mean.
+    /// Calls of the endpoint that got the most, divided by the mean.
     #[serde(rename = "most_over_mean")]
     pub max_over_mean: f64,
-    /// Least calls to one endpoint, over the mean.
+    /// Calls of the endpoint that got the fewest, divided by the mean.
     #[serde(rename = "least_over_mean")]
     pub min_over_mean: f64,
-    /// Endpoints that no copy sends to.
+    /// Endpoints that got no calls.
     #[serde(rename = "bare")]
     pub endpoints_without_calls: usize,
 }
 
-/// Why the cover could not be measured.
+/// Why the coverage could not be measured.
 #[derive(Debug, thiserror::Error)]
 pub enum CoverageError {
-    /// A size is 0.
-    #[error("copies, endpoints and calls must be above 0")]
+    /// The number of balancers, endpoints or calls is 0.
+    #[error("the numbers of balancers, endpoints and calls must be above 0")]
     ZeroSize,
-    /// The decisions refuse the settings.
-    #[error("the decisions refuse the settings: {0}")]
+    /// The decision module rejected the settings.
+    #[error("the decision module rejected the settings: {0}")]
     Settings(#[from] SettingsError),
 }
 
 impl CoverageModel {
-    /// Sends the calls and counts them by endpoint; `seed` decides the draws.
+    /// Sends the calls and counts them by endpoint; `seed` seeds the balancers' random numbers.
     ///
     /// # Errors
-    /// A size is 0 or out of the range of the settings.
+    /// A count is 0 or outside the range of the settings.
     pub fn measure(&self, seed: u64) -> Result<CallDistribution, CoverageError> {
-        if self.copies == 0 || self.endpoints == 0 || self.calls_per_copy == 0 {
+        if self.balancers == 0 || self.endpoints == 0 || self.calls_per_balancer == 0 {
             return Err(CoverageError::ZeroSize);
         }
         let mut calls_by_endpoint = vec![0_u64; self.endpoints as usize];
-        for index in 0..self.copies {
-            let known_copies = if index < self.old_count { self.old_count } else { self.copies };
-            let mut copy = start_balancer(index, known_copies, self.endpoints, seed)?;
-            for number in 0..self.calls_per_copy {
-                if let Some(endpoint) = answered_call(&mut copy, number) {
+        for index in 0..self.balancers {
+            let known_count = if index < self.outdated_count { self.outdated_count } else { self.balancers };
+            let mut balancer = start_balancer(index, known_count, self.endpoints, seed)?;
+            for number in 0..self.calls_per_balancer {
+                if let Some(endpoint) = answered_call(&mut balancer, number) {
                     calls_by_endpoint[endpoint as usize] += 1;
                 }
             }
@@ -86,22 +86,26 @@
     }
 }
 
-/// A copy that known_copies all endpoints.
-fn start_balancer(index: u32, copies: u32, endpoints: u32, seed: u64) -> Result<Balancer, SettingsError> {
+/// Starts a balancer that knows all endpoints; `replica_count` may be outdated.
+fn start_balancer(
+    replica_index: u32,
+    replica_count: u32,
+    endpoints: u32,
+    seed: u64,
+) -> Result<Balancer, SettingsError> {
     let class = Class {
         latency_target: Duration::from_millis(500),
         deadline: Duration::from_secs(2),
         late_value: 0.0,
         idempotency: Idempotency::Idempotent,
     };
-    let settings =
-        Settings { replica_index: index, replica_count: copies, ..Settings::single_zone(vec![class]) };
-    let mut copy = Balancer::new(settings, seed.wrapping_add(u64::from(index)))?;
+    let settings = Settings { replica_index, replica_count, ..Settings::single_zone(vec![class]) };
+    let mut balancer = Balancer::new(settings, seed.wrapping_add(u64::from(replica_index)))?;
     let members = (0..endpoints).map(ready_member).collect();
     let mut actions = Vec::new();
-    copy.handle(START_TIME, Event::Started, &mut actions);
-    copy.handle(START_TIME, Event::Discovery(DiscoveryUpdate::Full(members)), &mut actions);
-    Ok(copy)
+    balancer.handle(START_TIME, Event::Started, &mut actions);
+    balancer.handle(START_TIME, Event::Discovery(DiscoveryUpdate::Full(members)), &mut actions);
+    Ok(balancer)
 }
 
 fn ready_member(id: u32) -> Member {
@@ -116,8 +120,8 @@
     }
 }
 
-/// Sends one call and answers it; the endpoint that it went to.
-fn answered_call(copy: &mut Balancer, number: u32) -> Option<u32> {
+/// Sends one call, answers it and returns the endpoint that it went to.
+fn answered_call(balancer: &mut Balancer, number: u32) -> Option<u32> {
     let now = START_TIME + CALL_INTERVAL * number;
     let id = RequestId(u64::from(number));
     let request = Request {
@@ -130,7 +134,7 @@
         is_retry: false,
     };
     let mut actions = Vec::new();
-    copy.handle(now, Event::Request(request), &mut actions);
+    balancer.handle(now, Event::Request(request), &mut actions);
     let endpoint = actions.iter().find_map(|action| match action {
         Action::Send { upstream, .. } => Some(upstream.0),
         _ => None,
@@ -143,6 +147,6 @@
         request_ended: true,
         load: None,
     };
-    copy.handle(now + CALL_DURATION, Event::AttemptEnded(attempt_ended), &mut actions);
+    balancer.handle(now + CALL_DURATION, Event::AttemptEnded(attempt_ended), &mut actions);
     Some(endpoint)
 }
--- a/scale/src/fit.rs
+++ b/scale/src/fit.rs
@@ -1,31 +1,31 @@
-//! Straight lines through measured points, by least sum_of_squares.
+//! Straight lines fitted to measured points by least squares.
 
 use serde::Serialize;
 
 /// A measured point.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize)]
 pub struct Point {
-    /// The size.
+    /// Size at which the value was measured.
     pub x: f64,
-    /// What was measured at it.
+    /// Measured value.
     pub y: f64,
 }
 
 /// The line `y = intercept + slope * x` and how far the points are from it.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize)]
 pub struct Fit {
-    /// What one more of `x` costs.
+    /// Increase of `y` for one more of `x`.
     pub slope: f64,
-    /// What there is at no `x`.
+    /// Value of the line at `x = 0`.
     pub intercept: f64,
-    /// Root of the mean square of the points' distances from the line, in the unit of `y`.
+    /// Root mean square of the vertical distances of the points from the line, in the unit of `y`.
     pub residual_rms: f64,
-    /// The largest distance of a point from the line, as a part of the point's own value; `None` if a point is 0.
+    /// Largest distance of a point from the line, as a fraction of the point's own value; `None` if a value is 0.
     pub residual_relative: Option<f64>,
 }
 
 impl Fit {
-    /// The line through these points; `None` without two different sizes or with a value that is no number.
+    /// Fits a line to these points; `None` without two different sizes or with a value that is not finite.
     #[must_use]
     pub fn of(points: &[Point]) -> Option<Self> {
         let count = points.len() as f64;
--- a/scale/src/lib.rs
+++ b/scale/src/lib.rs
@@ -1,7 +1,8 @@
-//! A model of a large fleet on one machine, with which the balancer's figures at size are measured.
+//! Models a large fleet of load balancers on one machine to measure how the balancer behaves at scale.
 //!
-//! Real balancer processes and hollow balancers (the decision module and the watch code without sockets for
-//! clients) stand beside stand-in nodes and a stand-in control plane. Everything is on loopback.
+//! A run has real balancer processes and hollow balancers (the decision module and the discovery watch inside this
+//! process, without sockets for clients). Stand-in nodes and a stand-in control plane serve both. All traffic stays
+//! on loopback.
 
 pub mod cli;
 pub mod client;
--- a/scale/src/plan.rs
+++ b/scale/src/plan.rs
@@ -1,4 +1,4 @@
-//! What happens during the load and when: all of it drawn ahead, so that one seed gives one plan.
+//! Plan of faults and changes during the load. It is drawn before the run, so that one seed always gives one plan.
 
 use std::time::Duration;
 
@@ -10,73 +10,73 @@
 use crate::scenario::Scenario;
 use crate::topology::{CopyId, NodeId, RegionId, ServiceId, Topology};
 
-/// The part of the seed's random numbers from which faults are drawn.
+/// Random stream of the seed from which faults are drawn.
 const FAULT_STREAM: u64 = 1;
-/// The part from which changes of lists are drawn.
+/// Random stream of the seed from which list changes are drawn.
 const LIST_STREAM: u64 = 2;
-/// A node's weight is drawn between these.
+/// Range from which new weights of list entries are drawn.
 const WEIGHT_RANGE: std::ops::Range<f64> = 0.8..1.25;
-/// Share of list changes that meet padding entries, where there are any.
+/// Share of list changes that change a padding entry, if there are any.
 const PADDING_CHANGE_SHARE: f64 = 0.5;
 
-/// An action at its time.
+/// An action and when it is carried out.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Step {
-    /// From the start of the load.
+    /// Time from the start of the load.
     pub at: Duration,
-    /// What is done.
+    /// Action that is carried out.
     pub action: Action,
 }
 
-/// What is done to the fleet.
+/// An action on the running fleet.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Action {
-    /// Control publishes what a node is up to.
+    /// The control plane publishes a new status of a node.
     Publish(NodeId, NodeStatus),
-    /// A node says nothing, or speaks again.
+    /// A node stops answering (`true`) or answers again (`false`), while its process keeps running.
     Silence(NodeId, bool),
-    /// A node's process ends.
+    /// A node is stopped.
     Stop(NodeId),
-    /// A node's process starts, cold.
+    /// A node is started again and is cold at first.
     Restart(NodeId),
-    /// Control publishes another weight of a node.
+    /// The control plane publishes a new weight of a node.
     Weight(NodeId, f64),
-    /// Control publishes another weight of a padding entry.
+    /// The control plane publishes a new weight of a padding entry, given by its number in the service's list.
     Padding(ServiceId, u32, f64),
-    /// A region loses the others.
+    /// A region is cut off from the other regions.
     CutRegion(RegionId),
-    /// A region finds the others again.
+    /// A region is connected to the other regions again.
     RejoinRegion(RegionId),
-    /// A replica of control goes down.
+    /// A control plane replica goes down.
     StopReplica(u32),
-    /// A replica of control comes back.
+    /// A control plane replica comes back.
     StartReplica(u32),
-    /// All watches break.
+    /// All discovery watches are disconnected.
     BreakWatches,
     /// A real balancer is killed and started again.
     KillBalancer(CopyId),
-    /// Every copy gets new settings.
+    /// Every balancer gets new settings.
     NewSettings,
 }
 
-/// What a node is up to, as control lists it.
+/// Status of a node in the control plane's list.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum NodeStatus {
-    /// Takes requests; `restarted` if this is its first word after a start.
+    /// Accepts requests.
     Ready {
-        /// It has just started and is cold.
+        /// The node has just started again and is cold.
         restarted: bool,
     },
-    /// Finishes what it has.
+    /// Finishes its requests in flight and should get no new ones.
     Draining,
-    /// Is not there.
+    /// Is no longer in the list.
     Gone,
 }
 
-/// All that happens during the load.
+/// All faults and changes during the load.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Plan {
-    /// The steps in order of time.
+    /// Steps in order of time.
     pub steps: Vec<Step>,
     /// When each fault of the scenario begins and ends.
     pub faults: Vec<FaultSpan>,
@@ -99,7 +99,7 @@
     }
 }
 
-/// Changes of lists at random times, at the rate that the scenario says in the mean.
+/// Draws list changes at random times (a Poisson process) with the mean rate of the scenario.
 fn list_changes(scenario: &Scenario, topology: &Topology) -> Vec<Step> {
     let rate = scenario.changes.lists_per_s;
     let mut random = random_stream(scenario.seed, LIST_STREAM);
@@ -119,11 +119,11 @@
     }
 }
 
-fn random_list_change(padding: u32, topology: &Topology, random: &mut ChaCha8Rng) -> Action {
+fn random_list_change(padding_entries: u32, topology: &Topology, random: &mut ChaCha8Rng) -> Action {
     let weight = random.random_range(WEIGHT_RANGE);
-    if padding > 0 && random.random_bool(PADDING_CHANGE_SHARE) {
+    if padding_entries > 0 && random.random_bool(PADDING_CHANGE_SHARE) {
         let service = ServiceId(random.random_range(0..topology.services.len()));
-        return Action::Padding(service, random.random_range(0..padding), weight);
+        return Action::Padding(service, random.random_range(0..padding_entries), weight);
     }
     Action::Weight(NodeId(random.random_range(0..topology.nodes.len())), weight)
 }
@@ -134,7 +134,7 @@
     random
 }
 
-/// A time of a checked scenario: finite and not under 0.
+/// Converts a time of a checked scenario, which is finite and not negative.
 pub(crate) fn seconds(seconds: f64) -> Duration {
     Duration::from_secs_f64(seconds)
 }
--- a/scale/src/report.rs
+++ b/scale/src/report.rs
@@ -1,4 +1,4 @@
-//! The report of a run: one JSON file, from what was measured.
+//! The report of a run, built from its measurements and written as one JSON file.
 
 use std::collections::BTreeMap;
 use std::time::Instant;
@@ -19,76 +19,76 @@
 pub use figures::{AddedLatency, Delay, Latency, MeanMax};
 pub use recovery::{FaultSpan, Recovery, ServedShare};
 
-/// Depths whose latency is always named.
+/// Call depths (in hops) that the report always lists, even without calls of that depth.
 const REPORTED_DEPTHS: [u32; 3] = [1, 9, 27];
 
 /// Milliseconds in a second.
 const MS_PER_S: f64 = 1000.0;
 
-/// What a report is made from, beside what was measured.
+/// Facts about a run that a report needs besides the measurements.
 #[derive(Debug, Clone)]
 pub struct Run<'a> {
-    /// The scenario.
+    /// Scenario that was run.
     pub scenario: &'a Scenario,
-    /// Start of the load; `None` if it never came to it.
+    /// Start of the load; `None` if the run ended before it.
     pub start: Option<Instant>,
-    /// Seconds of load that were played.
+    /// Seconds for which the load ran.
     pub load_duration_s: f64,
-    /// When the faults began and ended.
+    /// Start and end of each fault.
     pub faults: Vec<FaultSpan>,
-    /// What control carried for each copy during the load.
+    /// Traffic between the control plane and each balancer during the load.
     pub control_usage: Vec<ControlUsage>,
-    /// Seconds of processor time of the hollow copies' threads during the load.
+    /// Seconds of processor time of the hollow balancers' threads during the load.
     pub hollow_core_s: f64,
-    /// Copies that had not been told the latest version of their list at the end.
+    /// Balancers to which the latest version of their list had not been sent at the end of the run.
     pub balancers_with_stale_list: Option<usize>,
-    /// What the hollow copies had left when they were stopped.
+    /// State of the hollow balancers when they were stopped.
     pub hollow_end: Option<HollowEnd>,
-    /// What the tool itself used during the load, and its memory at the end of it.
+    /// Resources that the tool itself used during the load, with its memory at the end of the load.
     pub tool_usage: Option<ProcessUsage>,
-    /// Why the run did not come to its end.
+    /// Why the run ended early; `None` if it completed.
     pub partial_reason: Option<String>,
 }
 
-/// Attempts at each hop over the calls that were made at that hop.
+/// Attempts divided by calls at each hop; shows how far retries multiply with depth.
 #[derive(Debug, Clone, Default, PartialEq, Serialize)]
 pub struct AttemptsPerCall {
-    /// By hop, from 1.
+    /// Attempts per call by hop, from 1.
     pub by_hop: BTreeMap<u32, f64>,
-    /// Attempts at the deepest hop over the first-hop calls of that depth.
+    /// Attempts at the deepest hop divided by the clients' calls of that depth.
     pub deepest_over_first: Option<f64>,
 }
 
-/// New settings.
+/// How long new settings took to come into force.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize)]
 pub struct SettingsInForce {
-    /// From the new settings to when a copy decides by them; `None` if none ever did.
+    /// Time from new settings to when a balancer decides by them; `None` if none ever did.
     #[serde(flatten)]
     pub delay: Option<Delay>,
-    /// Copies that never did.
+    /// Balancers that never decided by them.
     pub missed: u64,
 }
 
 /// The report of a run.
 #[derive(Debug, Clone, Serialize)]
 pub struct Report {
-    /// The scenario's name.
+    /// Name of the scenario.
     pub name: String,
     /// What was scaled down from the modelled fleet, and by how much.
     pub scale: String,
-    /// The seed of all chance.
+    /// Seed of all random numbers.
     pub seed: u64,
-    /// Seconds of load that were played.
+    /// Seconds for which the load ran.
     pub duration_s: f64,
-    /// The run did not come to its end.
+    /// Whether the run ended early.
     pub partial: bool,
-    /// Why it did not.
+    /// Why the run ended early.
     pub partial_reason: Option<String>,
-    /// Real balancers.
+    /// Number of real balancers.
     pub real: u32,
-    /// Hollow balancers.
+    /// Number of hollow balancers.
     pub hollow: u32,
-    /// All calls.
+    /// All calls of clients.
     #[serde(flatten)]
     pub all: Counts,
     /// Calls to real balancers.
@@ -97,77 +97,78 @@
     pub hollow_calls: Counts,
     /// Requests that must not run twice and did.
     pub duplicated: u64,
-    /// Cold nodes that were pushed over.
+    /// Cold (freshly started) nodes that went down because they got more requests than they can handle.
     pub cold_falls: u64,
-    /// What one hop through a real balancer adds.
+    /// Latency that one hop through a real balancer adds.
     pub added_latency_us: Option<AddedLatency>,
-    /// One hop through a real balancer.
+    /// Latency of one-hop calls through a real balancer.
     pub one_hop_latency_us: Option<Latency>,
-    /// The same calls sent straight to a node.
+    /// Latency of the same calls sent directly to a node.
     pub direct_latency_us: Option<Latency>,
-    /// By how much the client was late with calls to sockets: if it is not small beside the times of calls, the
-    /// machine did not carry the load.
+    /// Delay between the scheduled arrival of calls on sockets and their start by the client. Unless it is small
+    /// compared with the latency of calls, the machine was too slow for the load.
     pub client_lag_us: Option<Latency>,
-    /// Calls that the client never sent because too many were out; they count as failed.
+    /// Calls that the client never sent because too many were in flight; they count as failed.
     pub client_unsent: u64,
-    /// Calls through real balancers by depth.
+    /// Latency of calls through real balancers by number of hops.
     pub depth_latency_us: BTreeMap<u32, Option<Latency>>,
-    /// Calls through hollow balancers by depth, in modelled time.
+    /// Latency of calls through hollow balancers by number of hops, in modelled time.
     pub hollow_depth_latency_us: BTreeMap<u32, Option<Latency>>,
-    /// Attempts of real balancers.
+    /// Attempts per call of real balancers.
     pub attempts_per_call: AttemptsPerCall,
-    /// Attempts of hollow balancers.
+    /// Attempts per call of hollow balancers.
     pub hollow_attempts_per_call: AttemptsPerCall,
-    /// Bytes a second from control to a copy: mean and highest over the copies.
+    /// Bytes per second from the control plane to a balancer: mean and maximum over the balancers.
     pub control_bytes_per_s: Option<MeanMax>,
-    /// Calls to control during the load, by all copies.
+    /// Calls of all balancers to the control plane during the load.
     pub control_calls: u64,
-    /// Of these, turned away with 503.
+    /// Calls among these that the control plane answered with 503.
     #[serde(rename = "control_turned_away")]
     pub control_rejected_calls: u64,
-    /// Percent of a core of a real balancer without calls: mean and highest over the copies; `None` with calls.
+    /// Percent of a core that a real balancer uses without calls, for discovery alone: mean and maximum over the
+    /// balancers; `None` if the scenario has calls.
     pub control_core_percent: Option<MeanMax>,
-    /// Percent of a core of a real balancer, calls or not.
+    /// Percent of a core that a real balancer uses, with or without calls: mean and maximum over the balancers.
     pub balancer_core_percent: Option<MeanMax>,
-    /// Percent of a core of the hollow copies' threads, by copy.
+    /// Percent of a core that the hollow balancers' threads use, per hollow balancer.
     pub hollow_core_percent: Option<f64>,
-    /// The longest time by which the hollow copies' thread was late, in milliseconds: if it is not small beside the
-    /// times of calls, the machine did not carry the load.
+    /// Longest time by which the hollow balancers' thread handled an event late, in milliseconds. Unless it is small
+    /// compared with the latency of calls, the machine was too slow for the load.
     #[serde(rename = "hollow_behind_ms")]
     pub hollow_max_lag_ms: Option<f64>,
-    /// Calls to hollow copies that had no end when they were stopped; they are in no figure.
+    /// Calls to hollow balancers still in flight when those were stopped; no other figure counts them.
     pub hollow_open_calls: Option<usize>,
-    /// Resident memory of a real balancer in megabytes: mean and highest over all looks.
+    /// Resident memory of a real balancer in megabytes: mean and maximum over all samples.
     pub memory_mb: Option<MeanMax>,
-    /// Descriptors of a real balancer.
+    /// Open file descriptors of a real balancer: mean and maximum over all samples.
     pub descriptors: Option<MeanMax>,
-    /// Wake-ups a second of a real balancer.
+    /// Wake-ups per second of a real balancer: mean and maximum over all samples.
     pub wakeups_per_s: Option<MeanMax>,
-    /// Percent of a core of the tool itself: clients, nodes, control and hollow copies.
+    /// Percent of a core that the tool itself uses: clients, nodes, control plane and hollow balancers.
     pub tool_core_percent: Option<f64>,
     /// Resident memory of the tool itself at the end of the load, in megabytes.
     pub tool_memory_mb: Option<f64>,
-    /// Changes of lists that were made.
+    /// Number of list changes that were published.
     pub list_changes: u64,
-    /// Copies that had not been told the latest version of their list at the end.
+    /// Balancers to which the latest version of their list had not been sent at the end of the run.
     #[serde(rename = "lists_behind")]
     pub balancers_with_stale_list: Option<usize>,
-    /// From a list change to its arrival at a copy.
+    /// Time from a list change to its arrival at a balancer.
     #[serde(rename = "told_s")]
     pub list_delivery_s: Option<Delay>,
-    /// From a list change to when a copy decides by it.
+    /// Time from a list change to when a balancer decides by it.
     #[serde(rename = "in_force_s")]
     pub list_in_force_s: Option<Delay>,
-    /// From new settings to when a copy decides by them.
+    /// Time from new settings to when a balancer decides by them.
     pub settings_in_force_s: SettingsInForce,
-    /// What each fault did to the share of calls served.
+    /// Effect of each fault on the share of calls served.
     pub recovery_s: Vec<Recovery>,
-    /// Calls by the second in which they were due.
+    /// Calls by the second of their scheduled arrival.
     pub series: Series,
 }
 
 impl Report {
-    /// Puts the figures of a run together.
+    /// Builds the report of a run from its measurements.
     #[must_use]
     pub fn of(run: &Run<'_>, measured: &Measured) -> Self {
         let scenario = run.scenario;
@@ -179,8 +180,8 @@
         let sample_stats = |value: fn(&ProcessUsage) -> f64| {
             MeanMax::of(measured.process_samples.iter().map(|(_, usage)| value(usage)))
         };
-        let hollow_copies = f64::from(scenario.fleet.hollow);
-        let hollow_core = 100.0 * run.hollow_core_s / run.load_duration_s / hollow_copies;
+        let hollow_balancers = f64::from(scenario.fleet.hollow);
+        let hollow_core = 100.0 * run.hollow_core_s / run.load_duration_s / hollow_balancers;
         Self {
             name: scenario.name.clone(),
             scale: scenario.scale.clone(),
@@ -200,8 +201,8 @@
             direct_latency_us: direct,
             client_lag_us: Latency::of(&measured.client_lag_us),
             client_unsent: measured.client_unsent,
-            depth_latency_us: by_depth(&measured.latency_by_hops_us),
-            hollow_depth_latency_us: by_depth(&calls.hollow_latency_us),
+            depth_latency_us: latency_by_depth(&measured.latency_by_hops_us),
+            hollow_depth_latency_us: latency_by_depth(&calls.hollow_latency_us),
             attempts_per_call: attempts_per_call(measured, Carrier::Real),
             hollow_attempts_per_call: attempts_per_call(measured, Carrier::Hollow),
             control_bytes_per_s: MeanMax::of(
@@ -236,32 +237,34 @@
     }
 }
 
-fn by_depth(times: &BTreeMap<u32, DurationHistogram>) -> BTreeMap<u32, Option<Latency>> {
+fn latency_by_depth(histograms: &BTreeMap<u32, DurationHistogram>) -> BTreeMap<u32, Option<Latency>> {
     let mut latencies: BTreeMap<u32, Option<Latency>> =
         REPORTED_DEPTHS.into_iter().map(|hops| (hops, None)).collect();
-    latencies.extend(times.iter().map(|(hops, times)| (*hops, Latency::of(times))));
+    latencies.extend(histograms.iter().map(|(hops, histogram)| (*hops, Latency::of(histogram))));
     latencies
 }
 
 fn attempts_per_call(measured: &Measured, carrier: Carrier) -> AttemptsPerCall {
     let calls = &measured.hop_calls[carrier_index(carrier)];
     let attempts = &measured.attempts[carrier_index(carrier)];
-    let share = |hop: &u32, calls: u64| attempts.get(hop).map(|attempts| *attempts as f64 / calls as f64);
-    let by_hop = calls.iter().filter_map(|(hop, calls)| Some((*hop, share(hop, *calls)?))).collect();
+    let ratio = |hop: &u32, calls: u64| attempts.get(hop).map(|attempts| *attempts as f64 / calls as f64);
+    let by_hop = calls.iter().filter_map(|(hop, calls)| Some((*hop, ratio(hop, *calls)?))).collect();
     let carrier_calls = || measured.calls.iter().filter(|call| call.carrier == carrier);
     let deepest = carrier_calls().map(|call| call.hops).max();
     let deepest_over_first = deepest.and_then(|deepest| {
         let first = carrier_calls().filter(|call| call.hops == deepest).count();
-        share(&deepest, first as u64)
+        ratio(&deepest, first as u64)
     });
     AttemptsPerCall { by_hop, deepest_over_first }
 }
 
-/// The mean and the highest over the copies, of each copy's mean over its looks.
+/// Mean and maximum over the balancers of each balancer's mean over its samples.
 fn stats_by_balancer(samples: &[(CopyId, ProcessUsage)], value: fn(&ProcessUsage) -> f64) -> Option<MeanMax> {
-    let mut copies: BTreeMap<CopyId, Vec<f64>> = BTreeMap::new();
-    for (copy, usage) in samples {
-        copies.entry(*copy).or_default().push(value(usage));
+    let mut values_by_balancer: BTreeMap<CopyId, Vec<f64>> = BTreeMap::new();
+    for (balancer, usage) in samples {
+        values_by_balancer.entry(*balancer).or_default().push(value(usage));
     }
-    MeanMax::of(copies.into_values().filter_map(|values| MeanMax::of(values).map(|stats| stats.mean)))
+    MeanMax::of(
+        values_by_balancer.into_values().filter_map(|values| MeanMax::of(values).map(|stats| stats.mean)),
+    )
 }
--- a/scale/src/report/calls.rs
+++ b/scale/src/report/calls.rs
@@ -1,4 +1,4 @@
-//! Calls summary by how they ended, by depth and by time.
+//! Counts calls by how they ended, by depth and by time.
 
 use std::collections::BTreeMap;
 use std::time::Instant;
@@ -10,51 +10,51 @@
 use crate::record::{Call, CallEnd, DurationHistogram, carrier_index};
 use crate::topology::Carrier;
 
-/// Calls by how they ended; `calls` is the sum of the others.
+/// Calls by how they ended; `calls` is the sum of the other fields.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize)]
 pub struct Counts {
-    /// First-hop calls, each with its repeats by the client.
+    /// Calls of clients; a call and the client's retries of it count once.
     pub calls: u64,
-    /// Answered with 200 in time.
+    /// Answered with 200 before the deadline.
     pub served: u64,
-    /// Answered with 429 or 503.
+    /// Answered with 429 or 503, after the client's retries, if any.
     pub refused: u64,
-    /// Any other answer, or none in time.
+    /// Any other answer, or no answer before the deadline.
     pub failed: u64,
-    /// Taken and never answered.
+    /// Accepted by a server, but never answered.
     pub lost: u64,
-    /// The client had left.
+    /// The client closed its connection before the answer.
     #[serde(rename = "left")]
     pub client_left: u64,
 }
 
-/// Calls by the second in which they were arrival.
+/// Calls by the second of their scheduled arrival.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize)]
 pub struct Series {
-    /// Served.
+    /// Served calls in each second.
     pub served: Vec<u64>,
-    /// Refused.
+    /// Refused calls in each second.
     pub refused: Vec<u64>,
-    /// Failed or lost.
+    /// Failed or lost calls in each second.
     pub failed: Vec<u64>,
 }
 
-/// Calls put in order for the report.
+/// Calls counted in the ways that the report needs.
 pub(super) struct CallSummary {
-    /// All of them.
+    /// Counts of all calls.
     pub(super) all: Counts,
-    /// By carrier, real first.
+    /// Counts by carrier, real first.
     pub(super) by_carrier: [Counts; 2],
-    /// Served calls through hollow balancers by depth.
+    /// Latency of served calls through hollow balancers by number of hops.
     pub(super) hollow_latency_us: BTreeMap<u32, DurationHistogram>,
-    /// The share served over time.
+    /// Share of calls served over time.
     pub(super) served_share: ServedShare,
-    /// By second.
+    /// Counts by second.
     pub(super) series: Series,
 }
 
 impl CallSummary {
-    /// Sorts the calls of a run.
+    /// Counts the calls of a run.
     pub(super) fn of(run: &Run<'_>, calls: &[Call]) -> Self {
         let duration_s = run.load_duration_s.round().max(1.0) as usize;
         let zeros = vec![0; duration_s];
--- a/scale/src/report/figures.rs
+++ b/scale/src/report/figures.rs
@@ -1,5 +1,4 @@
-//! Figures of which a report is made: percentiles, means and highest values, with their units in the names of the
-//! fields that hold them.
+//! Statistics in a report: percentiles, means and maxima. The unit is in the name of the report field that holds them.
 
 use serde::Serialize;
 
@@ -8,21 +7,21 @@
 /// Microseconds in a second.
 const US_PER_S: f64 = 1e6;
 
-/// The middle and the tail of times in microseconds.
+/// Percentiles of latencies in microseconds.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 pub struct Latency {
-    /// Half of the calls took no longer.
+    /// 50th percentile.
     pub p50: u64,
-    /// 99 in 100 took no longer.
+    /// 99th percentile.
     pub p99: u64,
-    /// 999 in 1,000 took no longer.
+    /// 99.9th percentile.
     pub p999: u64,
-    /// Calls behind the figures.
+    /// Number of calls measured.
     pub count: u64,
 }
 
 impl Latency {
-    /// Of all times added; `None` of nothing.
+    /// Percentiles of a histogram; `None` if it is empty.
     #[must_use]
     pub fn of(latencies: &DurationHistogram) -> Option<Self> {
         let (p50, p99) = (latencies.percentile(50.0)?, latencies.percentile(99.0)?);
@@ -30,20 +29,20 @@
     }
 }
 
-/// What a balancer adds, in microseconds: each percentile of calls through it less the same percentile of calls
-/// sent straight. It may come out under 0 where the two are within their noise.
+/// Latency that a balancer adds, in microseconds: each percentile of calls through it minus the same percentile of
+/// calls sent directly to a node. It can be negative where the difference is within the noise.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 pub struct AddedLatency {
-    /// At the middle.
+    /// Difference of the 50th percentiles.
     pub p50: i64,
-    /// At 99 in 100.
+    /// Difference of the 99th percentiles.
     pub p99: i64,
-    /// At 999 in 1,000.
+    /// Difference of the 99.9th percentiles.
     pub p999: i64,
 }
 
 impl AddedLatency {
-    /// The difference; `None` where either was not played.
+    /// Difference of the percentiles; `None` if either kind of call was not made.
     #[must_use]
     pub fn of(through: Option<Latency>, direct: Option<Latency>) -> Option<Self> {
         let (through, direct) = (through?, direct?);
@@ -56,21 +55,21 @@
     }
 }
 
-/// Seconds from a change to what it brings about.
+/// Seconds from a change until it takes effect.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize)]
 pub struct Delay {
-    /// Half took no longer.
+    /// 50th percentile.
     pub p50: f64,
-    /// 99 in 100 took no longer.
+    /// 99th percentile.
     pub p99: f64,
-    /// The longest.
+    /// Longest delay.
     pub max: f64,
-    /// How many were measured.
+    /// Number of delays measured.
     pub count: u64,
 }
 
 impl Delay {
-    /// Of all times added; `None` of nothing.
+    /// Percentiles of a histogram; `None` if it is empty.
     #[must_use]
     pub fn of(durations: &DurationHistogram) -> Option<Self> {
         let seconds = |percent| durations.percentile(percent).map(|us| us as f64 / US_PER_S);
@@ -83,17 +82,17 @@
     }
 }
 
-/// The mean and the highest of several values.
+/// Mean and maximum of several values.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize)]
 pub struct MeanMax {
-    /// The mean.
+    /// Arithmetic mean.
     pub mean: f64,
-    /// The highest.
+    /// Largest value.
     pub max: f64,
 }
 
 impl MeanMax {
-    /// Of these values; `None` of nothing.
+    /// Mean and maximum of these values; `None` if there are none.
     pub fn of(values: impl IntoIterator<Item = f64>) -> Option<Self> {
         let (mut sum, mut count, mut max) = (0.0, 0.0, f64::NEG_INFINITY);
         for value in values {
--- a/scale/src/report/recovery.rs
+++ b/scale/src/report/recovery.rs
@@ -1,49 +1,49 @@
-//! How long the served share takes to come back after a fault.
+//! Measures how long the share of calls served takes to recover after a fault.
 
 use serde::Serialize;
 
 use crate::scenario::FaultKind;
 
-/// Steps into which a second is cut.
+/// Time steps per second in which calls are counted.
 const STEPS_PER_S: usize = 10;
-/// Seconds for which the share must hold.
+/// Seconds for which the share must stay recovered.
 const MIN_RECOVERED_S: usize = 2;
-/// How far below its value before the fault the share may be.
+/// How far below its value before the fault a recovered share may be.
 const SHARE_TOLERANCE: f64 = 0.02;
 
-/// When a fault began and ended, in seconds from the start of the load.
+/// Start and end of a fault, in seconds from the start of the load.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct FaultSpan {
-    /// What happened.
+    /// Kind of the fault.
     pub kind: FaultKind,
-    /// Its start.
+    /// Start of the fault.
     pub at_s: f64,
-    /// Its end; the start of a fault that takes no time.
+    /// End of the fault; equal to the start for a fault without a duration.
     pub ends_s: f64,
 }
 
-/// What a fault did to the share of calls that were served.
+/// Effect of a fault on the share of calls served.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize)]
 pub struct Recovery {
-    /// What happened.
+    /// Kind of the fault.
     pub kind: FaultKind,
-    /// Its start, in seconds from the start of the load.
+    /// Start of the fault, in seconds from the start of the load.
     pub at_s: f64,
-    /// Its end.
+    /// End of the fault, in seconds from the start of the load.
     pub ends_s: f64,
-    /// Share of calls served of those due in a second before, early is_recovered to have ended when it began.
+    /// Share of calls served in a second before the fault, early enough that its calls had ended when the fault began.
     pub share_before: Option<f64>,
-    /// Lowest share of a second from its start until the share was back, or until the end of the load.
+    /// Lowest share in any second from the start of the fault until the share recovered, or until the end of the load.
     pub lowest_share: Option<f64>,
-    /// Seconds from its end until the share was back; `None` if it never was, or could not be told.
+    /// Seconds from the end of the fault until the share recovered; `None` if it did not, or if that is unknown.
     pub recovery_s: Option<f64>,
 }
 
-/// Calls by when they were due, in tenths of a second from the start of the load.
+/// Calls by scheduled arrival, in steps of a tenth of a second from the start of the load.
 #[derive(Debug, Clone, Default)]
 pub struct ServedShare {
     steps: Vec<Step>,
-    /// A call has ended so many steps after it was due.
+    /// Steps after its arrival by which a call has ended.
     deadline_steps: usize,
 }
 
@@ -54,7 +54,7 @@
 }
 
 impl ServedShare {
-    /// Of a load of so many seconds, whose clients wait for `deadline_s`.
+    /// Counts for a load of `duration_s` seconds whose clients wait for `deadline_s`.
     #[must_use]
     pub fn new(duration_s: f64, deadline_s: f64) -> Self {
         Self {
@@ -63,7 +63,7 @@
         }
     }
 
-    /// Adds a call that was due then; calls whose clients left are not to be added.
+    /// Adds a call by its scheduled arrival. Calls whose clients left must not be added.
     pub fn add(&mut self, arrival_s: f64, served: bool) {
         let last_step = self.steps.len() - 1;
         let step = &mut self.steps[step_index(arrival_s).min(last_step)];
@@ -71,7 +71,7 @@
         step.served += u64::from(served);
     }
 
-    /// What a fault did.
+    /// Effect of a fault on the share.
     #[must_use]
     pub fn recovery(&self, fault: FaultSpan) -> Recovery {
         let steps_before = step_index(fault.at_s).saturating_sub(self.deadline_steps).max(STEPS_PER_S);
@@ -92,7 +92,8 @@
         }
     }
 
-    /// The first step from `from` on at whose end the share is back and stays so for the time that it must.
+    /// First step from `from` on before which the share has recovered and after which it stays recovered for
+    /// [`MIN_RECOVERED_S`].
     fn first_recovered_step(&self, from: usize, min_share: f64) -> Option<usize> {
         let min_steps = MIN_RECOVERED_S * STEPS_PER_S;
         let is_recovered =
@@ -101,16 +102,16 @@
             .find(|start| (*start..=start + min_steps).all(is_recovered))
     }
 
-    /// The share over the second that ends with a step; `None` without calls in it.
+    /// Share served in the second before the start of step `end`; `None` if it had no calls.
     fn share_in_second_before(&self, end: usize) -> Option<f64> {
-        let steps = self.steps.get(end.saturating_sub(STEPS_PER_S)..end)?;
-        let calls: u64 = steps.iter().map(|step| step.calls).sum();
-        let served: u64 = steps.iter().map(|step| step.served).sum();
+        let second = self.steps.get(end.saturating_sub(STEPS_PER_S)..end)?;
+        let calls: u64 = second.iter().map(|step| step.calls).sum();
+        let served: u64 = second.iter().map(|step| step.served).sum();
         (calls > 0).then(|| served as f64 / calls as f64)
     }
 }
 
-/// The step in which a time falls.
+/// Number of steps in a time, rounded.
 fn step_index(seconds: f64) -> usize {
     (seconds.max(0.0) * STEPS_PER_S as f64).round() as usize
 }
--- a/scale/src/run.rs
+++ b/scale/src/run.rs
@@ -1,4 +1,4 @@
-//! Runs a scenario: starts the fleet, plays load, faults and changes, and ends everything whatever happens.
+//! Runs a scenario: starts the fleet, applies load, faults and changes, and always stops everything at the end.
 
 use std::future::Future;
 use std::io;
@@ -32,71 +32,71 @@
 use fleet::Fleet;
 use perform::ActionExecutor;
 
-/// Time after the last deadline in which answers and lists still arrive.
+/// Time after the last deadline for late answers and list updates to arrive.
 const SETTLE_TIME: Duration = Duration::from_millis(1500);
-/// Time after that which the load may take to end.
+/// Time after [`SETTLE_TIME`] within which the clients must have ended.
 const LOAD_END_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// What a run needs beside its scenario.
+/// What a run needs besides its scenario.
 #[derive(Debug, Clone)]
 pub struct Options {
-    /// The balancer program.
+    /// Path of the balancer program.
     pub program: PathBuf,
-    /// Shows a progress bar on standard error if that is a terminal.
+    /// Whether to show a progress bar on standard error if that is a terminal.
     pub progress: bool,
 }
 
-/// Why a run did not come to its end.
+/// Why a run ended early.
 #[derive(Debug, Error)]
 pub enum RunError {
     /// A stand-in node could not start.
     #[error(transparent)]
     Node(#[from] NodeError),
-    /// Control could not start.
+    /// The control plane could not start.
     #[error(transparent)]
     Control(#[from] ControlError),
-    /// A real balancer could not start, or gave up.
+    /// A real balancer could not start or be controlled.
     #[error(transparent)]
     Process(#[from] ProcessError),
-    /// The hollow copies could not start.
+    /// The hollow balancers could not start, or ended early.
     #[error(transparent)]
     Hollow(#[from] HollowError),
-    /// There is no folder for the balancers' files.
-    #[error("no folder for the balancers' files: {0}")]
+    /// The folder for the balancers' files could not be created.
+    #[error("cannot create a folder for the balancers' files: {0}")]
     TempDir(#[source] io::Error),
-    /// Copies did not become ready and hear from control in time.
-    #[error("{ready} of {total} copies were ready and watched their list within {within_s} s")]
+    /// Not all balancers became ready and received their list in time.
+    #[error("only {ready} of {total} balancers were ready and had received their list within {within_s} s")]
     NotReady {
-        /// Copies that were ready.
+        /// Balancers that were ready.
         ready: usize,
-        /// Copies in all.
+        /// All balancers.
         total: usize,
-        /// The time that they had, in seconds.
+        /// Time limit in seconds.
         within_s: f64,
     },
-    /// A real balancer ended that no fault of the scenario had ended.
-    #[error("{name} ended: {status}; its last lines: {log}")]
+    /// A real balancer exited, although no fault of the scenario killed it.
+    #[error("{name} ended: {status}; last lines of its log: {log}")]
     BalancerExited {
-        /// Its copy's name.
+        /// Name of the balancer.
         name: String,
-        /// How.
+        /// Exit status of its process.
         status: ExitStatus,
         /// The last lines of its log.
         log: String,
     },
-    /// The load did not end some time after its last deadline.
-    #[error("the load did not end")]
+    /// Clients were still running some time after their last deadline.
+    #[error("the clients did not end after the load")]
     LoadNotEnded,
-    /// A part of the tool panicked.
-    #[error("a part of the tool failed: {0}")]
+    /// A task of the tool panicked.
+    #[error("a task of the tool failed: {0}")]
     TaskFailed(#[from] tokio::task::JoinError),
-    /// The user ended the run.
+    /// The user ended the run with a signal.
     #[error("ended by {0}")]
     Interrupted(&'static str),
 }
 
-/// Runs a scenario until its end, an error, or `interrupt`, which tells what interrupted it. All processes that were
-/// started have ended when it returns; the report says whether it is partial.
+/// Runs a scenario until its end, an error, or `interrupt`, which returns the name of the interrupting signal. All
+/// processes that it started have exited when it returns; the report says whether the run is partial.
 pub async fn run(
     scenario: &Scenario,
     options: &Options,
@@ -105,7 +105,7 @@
     let mut session = Session::new(scenario);
     let load_result = tokio::select! {
         signal = interrupt => Err(RunError::Interrupted(signal)),
-        result = session.run_load(options) => result,
+        result = session.start_and_run_load(options) => result,
     };
     let stop_result = session.stop().await;
     let error = load_result.err().or(stop_result.err());
@@ -115,7 +115,7 @@
     session.report(error)
 }
 
-/// A run in the making.
+/// State of a run in progress.
 struct Session {
     scenario: Arc<Scenario>,
     topology: Arc<Topology>,
@@ -126,11 +126,11 @@
     hollow_end: Option<HollowEnd>,
 }
 
-/// The load, once it has begun.
+/// Start and measurements of the load, once it has begun.
 struct Load {
     start: Instant,
-    load_duration_s: Option<f64>,
-    control_before: Vec<ControlUsage>,
+    duration_s: Option<f64>,
+    control_usage_at_start: Vec<ControlUsage>,
     control_usage: Vec<ControlUsage>,
     tool_sampler: Sampler,
     tool_usage: Option<ProcessUsage>,
@@ -152,7 +152,7 @@
         }
     }
 
-    async fn run_load(&mut self, options: &Options) -> Result<(), RunError> {
+    async fn start_and_run_load(&mut self, options: &Options) -> Result<(), RunError> {
         let started_fleet =
             Fleet::start(&self.scenario, &self.topology, &self.record, &options.program).await?;
         let fleet = self.fleet.insert(started_fleet);
@@ -161,8 +161,8 @@
         let start = Instant::now();
         let load = self.load.insert(Load {
             start,
-            load_duration_s: None,
-            control_before: fleet.control_usage(),
+            duration_s: None,
+            control_usage_at_start: fleet.control_usage(),
             control_usage: Vec::new(),
             tool_sampler: Sampler::new(std::process::id()),
             tool_usage: None,
@@ -195,7 +195,7 @@
         let run = Run {
             scenario: &self.scenario,
             start: load.map(|load| load.start),
-            load_duration_s: load.and_then(|load| load.load_duration_s).unwrap_or_default(),
+            load_duration_s: load.and_then(|load| load.duration_s).unwrap_or_default(),
             faults: self.plan.faults,
             control_usage: load.map(|load| load.control_usage.clone()).unwrap_or_default(),
             hollow_core_s: load.map(|load| load.hollow_core_s).unwrap_or_default(),
@@ -209,17 +209,17 @@
 }
 
 impl Load {
-    /// Takes the figures at the end of the load, once.
+    /// Takes the measurements at the end of the load; later calls do nothing.
     fn take_measurements(&mut self, fleet: &Fleet, record: &Record) {
-        if self.load_duration_s.is_some() {
+        if self.duration_s.is_some() {
             return;
         }
-        self.load_duration_s = Some(self.start.elapsed().as_secs_f64());
+        self.duration_s = Some(self.start.elapsed().as_secs_f64());
         self.tool_usage = self.tool_sampler.sample();
         self.hollow_core_s = record.measured().hollow_core_s;
         let after = fleet.control_usage();
         self.control_usage = self
-            .control_before
+            .control_usage_at_start
             .iter()
             .zip(after)
             .map(|(before, after)| usage_between(before, &after))
@@ -227,6 +227,7 @@
     }
 }
 
+/// Traffic between two readings of the counters.
 fn usage_between(before: &ControlUsage, after: &ControlUsage) -> ControlUsage {
     ControlUsage {
         bytes: after.bytes - before.bytes,
@@ -265,7 +266,7 @@
     Ok(())
 }
 
-/// The calls of clients to real balancers, and those sent straight.
+/// Makes the clients' calls to real balancers and the calls that are sent directly to nodes.
 fn socket_load(
     fleet: &Fleet,
     scenario: &Arc<Scenario>,
--- a/scale/src/run/fleet.rs
+++ b/scale/src/run/fleet.rs
@@ -1,4 +1,4 @@
-//! The parts of a running fleet: started together, ended together.
+//! Starts and stops the parts of a running fleet: control plane, nodes and balancers.
 
 use std::net::SocketAddr;
 use std::path::Path;
@@ -20,39 +20,39 @@
 use crate::scenario::Scenario;
 use crate::topology::{Carrier, CopyId, NodeId, ServiceId, Topology};
 
-/// Wait between two looks at whether the hollow copies are ready.
+/// Time between two checks whether all balancers are ready.
 const READY_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// A real balancer. Its lock is held while a fault of the scenario kills it and starts it again.
+/// A real balancer. Its process is locked while a fault of the scenario kills and restarts it.
 #[derive(Debug, Clone)]
 pub struct Balancer {
-    /// Its copy.
+    /// Index in the topology.
     pub copy: CopyId,
-    /// Where it listens.
+    /// Address on which it listens.
     pub address: SocketAddr,
-    /// Its process.
+    /// Process of the balancer.
     pub process: Arc<Mutex<BalancerProcess>>,
 }
 
-/// Everything that runs.
+/// All parts of a running fleet.
 pub struct Fleet {
     /// The control plane.
     pub control: Arc<ControlPlane>,
-    /// Nodes with sockets.
+    /// Stand-in nodes with sockets.
     pub nodes: Arc<NodeServers>,
-    /// Real balancers.
+    /// Real balancers, in the order of the topology.
     pub balancers: Vec<Balancer>,
-    /// Hollow copies, if there are any.
+    /// Hollow balancers, if there are any.
     pub hollow: Option<HollowFleet>,
-    /// What control was told.
+    /// Endpoint lists that the control plane serves.
     pub lists: EndpointLists,
     topology: Arc<Topology>,
-    /// The balancers' files.
+    /// Holds the balancers' files; deleted when dropped.
     _directory: TempDir,
 }
 
 impl Fleet {
-    /// Starts all parts; what was started ends if one of them cannot.
+    /// Starts all parts. If one of them fails to start, the others are stopped.
     pub async fn start(
         scenario: &Arc<Scenario>,
         topology: &Arc<Topology>,
@@ -62,9 +62,9 @@
         let directory = TempDir::with_prefix("stilelead-scale-").map_err(RunError::TempDir)?;
         let control = ControlPlane::start(scenario, topology, record.clone()).await?;
         let nodes = NodeServers::start(scenario, topology, record.clone()).await?;
-        let padding = scenario.control.padding_entries;
+        let padding_entries = scenario.control.padding_entries;
         let address = |node| is_real(topology, node).then(|| nodes.address(node));
-        let lists = EndpointLists::publish(&control, record, topology, padding, address);
+        let lists = EndpointLists::publish(&control, record, topology, padding_entries, address);
         let balancers = start_balancers(scenario, topology, &control, program, directory.path()).await?;
         for balancer in &balancers {
             nodes.set_balancer_address(balancer.copy, balancer.address);
@@ -81,7 +81,7 @@
         })
     }
 
-    /// Waits until every copy is ready and has heard from control.
+    /// Waits until every balancer is ready and has received its list.
     pub async fn wait_until_ready(&self, timeout: Duration) -> Result<(), RunError> {
         let start = Instant::now();
         for balancer in &self.balancers {
@@ -90,7 +90,7 @@
         }
         let total = self.topology.copies.len();
         loop {
-            let ready = self.ready_copies();
+            let ready = self.ready_balancers();
             if ready >= total {
                 return Ok(());
             }
@@ -101,37 +101,37 @@
         }
     }
 
-    /// Copies that could serve and have a watch, at least.
-    fn ready_copies(&self) -> usize {
-        let watching = self.topology.copies.len() - self.balancers_with_stale_list();
-        let serving = self.hollow.as_ref().map_or(0, HollowFleet::ready) + self.balancers.len();
-        watching.min(serving)
+    /// Lower bound of the number of balancers that can serve and have received their list.
+    fn ready_balancers(&self) -> usize {
+        let with_current_list = self.topology.copies.len() - self.balancers_with_stale_list();
+        let able_to_serve = self.hollow.as_ref().map_or(0, HollowFleet::ready) + self.balancers.len();
+        with_current_list.min(able_to_serve)
     }
 
-    /// What control carried for each copy so far.
+    /// Traffic between the control plane and each balancer so far.
     pub fn control_usage(&self) -> Vec<ControlUsage> {
         (0..self.topology.copies.len()).map(|copy| self.control.usage(CopyId(copy))).collect()
     }
 
-    /// Copies that were not told the latest version of their list.
+    /// Number of balancers to which the latest version of their list was not sent yet.
     pub fn balancers_with_stale_list(&self) -> usize {
         let versions: Vec<u64> = (0..self.topology.services.len())
             .map(|service| self.control.list(ServiceId(service)).index)
             .collect();
-        let copies = self.topology.copies.iter().enumerate();
-        copies
-            .filter(|(number, copy)| {
-                self.control.delivered_version(CopyId(*number)) < versions[copy.target.0]
+        let balancers = self.topology.copies.iter().enumerate();
+        balancers
+            .filter(|(number, balancer)| {
+                self.control.delivered_version(CopyId(*number)) < versions[balancer.target.0]
             })
             .count()
     }
 
-    /// Where the real balancers listen.
+    /// Addresses of the real balancers.
     pub fn balancer_addresses(&self) -> Vec<SocketAddr> {
         self.balancers.iter().map(|balancer| balancer.address).collect()
     }
 
-    /// Where the nodes of the first real service listen.
+    /// Addresses of the first real service's nodes, for calls that bypass the balancers.
     pub fn direct_addresses(&self) -> Vec<SocketAddr> {
         let first_real = self.topology.services.iter().find(|service| service.carrier == Carrier::Real);
         let nodes = first_real.map(|service| service.nodes.as_slice()).unwrap_or_default();
@@ -143,10 +143,10 @@
         is_real(&self.topology, node)
     }
 
-    /// Ends all parts; tells what the hollow copies had left.
+    /// Stops all parts and returns the state of the hollow balancers when they were stopped.
     ///
     /// # Errors
-    /// The hollow copies had ended before.
+    /// The hollow balancers' threads had ended before.
     pub async fn stop(self) -> Result<Option<HollowEnd>, RunError> {
         for balancer in self.balancers {
             balancer.process.lock().await.kill().await;
@@ -160,7 +160,7 @@
     topology.services[topology.nodes[node.0].service.0].carrier == Carrier::Real
 }
 
-/// Starts the hollow copies, which takes a while, on a thread that may wait.
+/// Starts the hollow balancers on a thread that may block, because it takes a while.
 async fn start_hollow(
     scenario: &Arc<Scenario>,
     topology: &Arc<Topology>,
--- a/scale/src/run/lists.rs
+++ b/scale/src/run/lists.rs
@@ -1,4 +1,4 @@
-//! The lists as control has them: an entry for each node, and the padding entries.
+//! Endpoint lists that the control plane serves: an entry for each node, and padding entries.
 
 use std::net::{Ipv4Addr, SocketAddr};
 use std::sync::{Arc, Mutex, PoisonError};
@@ -11,34 +11,34 @@
 use crate::record::Record;
 use crate::topology::{NodeId, ServiceId, Topology, ZoneId};
 
-/// Kind of machine of each node.
+/// Machine kind in every entry.
 const MACHINE_KIND: &str = "std";
 const READY: &str = "ready";
 const DRAINING: &str = "draining";
 const GONE: &str = "gone";
-/// First byte of the addresses of modelled nodes: nothing connects to them.
+/// First byte of the made-up addresses of modelled nodes, to which nothing connects.
 const MODELLED_NODE_NET: u8 = 10;
-/// First byte of the addresses of padding entries: nothing connects to them.
+/// First byte of the made-up addresses of padding entries, to which nothing connects.
 const PADDING_NET: u8 = 11;
-/// The port of both.
+/// Port of the made-up addresses.
 const UNUSED_PORT: u16 = 1;
 
-/// The entries of all nodes, as control was last told.
+/// Current list entries of all nodes, and the control plane to which changes are published.
 pub struct EndpointLists {
     control: Arc<ControlPlane>,
     record: Arc<Record>,
     topology: Arc<Topology>,
     entries: Mutex<Vec<Endpoint>>,
-    padding: u32,
+    padding_entries: u32,
 }
 
 impl EndpointLists {
-    /// Publishes all lists for the first time. `address` tells where a node with sockets listens.
+    /// Publishes all lists for the first time. `address` returns the address of a node that has sockets.
     pub fn publish(
         control: &Arc<ControlPlane>,
         record: &Arc<Record>,
         topology: &Arc<Topology>,
-        padding: u32,
+        padding_entries: u32,
         address: impl Fn(NodeId) -> Option<SocketAddr>,
     ) -> Self {
         let entry = |node| {
@@ -49,7 +49,7 @@
         for (number, service) in topology.services.iter().enumerate() {
             let mut list: Vec<Endpoint> = service.nodes.iter().map(|node| entries[node.0].clone()).collect();
             list.extend(
-                (0..padding)
+                (0..padding_entries)
                     .map(|padding_number| padding_entry(topology, ServiceId(number), padding_number, 1.0)),
             );
             control.set_list(ServiceId(number), list);
@@ -59,11 +59,11 @@
             record: record.clone(),
             topology: topology.clone(),
             entries: Mutex::new(entries),
-            padding,
+            padding_entries,
         }
     }
 
-    /// Publishes what a node is up to.
+    /// Publishes a new status of a node.
     pub fn set_status(&self, node: NodeId, status: NodeStatus) {
         self.update_entry(node, |entry| match status {
             NodeStatus::Ready { restarted } => {
@@ -77,14 +77,14 @@
         });
     }
 
-    /// Publishes another weight of a node; of one that is gone it is published when the node is back.
+    /// Publishes a new weight of a node. If the node is gone, the weight is published when the node is back.
     pub fn set_weight(&self, node: NodeId, weight: f64) {
         self.update_entry(node, |entry| entry.weight = weight);
     }
 
-    /// Publishes another weight of a padding entry.
+    /// Publishes a new weight of a padding entry.
     pub fn set_padding(&self, service: ServiceId, padding_number: u32, weight: f64) {
-        if padding_number < self.padding {
+        if padding_number < self.padding_entries {
             self.publish_entry(service, padding_entry(&self.topology, service, padding_number, weight));
         }
     }
@@ -124,7 +124,7 @@
     }
 }
 
-/// An entry that gets no calls: it is draining.
+/// A list entry that only makes the list longer. It gets no calls because its status is draining.
 fn padding_entry(topology: &Topology, service: ServiceId, padding_number: u32, weight: f64) -> Endpoint {
     Endpoint {
         name: format!("p-{:03}-{padding_number:05}", service.0),
@@ -138,7 +138,7 @@
     }
 }
 
-/// An address at which nothing listens.
+/// A made-up address on which nothing listens.
 fn unused_address(net: u8, number: usize) -> SocketAddr {
     let [_, high, middle, low] = (number as u32).to_be_bytes();
     (Ipv4Addr::new(net, high, middle, low), UNUSED_PORT).into()
--- a/scale/src/run/perform.rs
+++ b/scale/src/run/perform.rs
@@ -1,4 +1,4 @@
-//! Carries out the steps of the plan on the running fleet.
+//! Carries out the planned actions on the running fleet.
 
 use std::sync::Arc;
 use std::time::Instant;
@@ -14,7 +14,7 @@
 use crate::scenario::Scenario;
 use crate::topology::{CopyId, NodeId, Topology};
 
-/// Carries out actions; those that take time go on beside the next ones.
+/// Carries out actions. Slow ones run in the background while the next ones are carried out.
 pub struct ActionExecutor<'a> {
     fleet: &'a Fleet,
     settings: SettingsRollout<'a>,
@@ -22,7 +22,7 @@
 }
 
 impl<'a> ActionExecutor<'a> {
-    /// For a fleet; settings that are not in force at `deadline` never were.
+    /// Executor for a fleet; new settings that are not in force at `deadline` count as missed.
     pub fn new(
         fleet: &'a Fleet,
         scenario: &'a Scenario,
@@ -37,7 +37,7 @@
         }
     }
 
-    /// Does what a step says.
+    /// Carries out an action.
     pub fn execute(&mut self, action: Action) {
         let fleet = self.fleet;
         if !matches!(action, Action::Weight(..) | Action::Padding(..)) {
@@ -66,7 +66,7 @@
         }
     }
 
-    /// Waits for what still goes on.
+    /// Waits for the background tasks.
     pub async fn finish(mut self) -> Result<(), RunError> {
         while let Some(result) = self.background_tasks.join_next().await {
             result??;
@@ -82,7 +82,7 @@
         }
     }
 
-    /// A modelled node that has stopped is silent: it was drained before.
+    /// Stops a node. A modelled node is silenced instead, which has the same effect because it was drained before.
     fn stop(&self, node: NodeId) {
         if self.fleet.is_real(node) {
             self.fleet.nodes.stop(node);
--- a/scale/src/run/settings.rs
+++ b/scale/src/run/settings.rs
@@ -1,4 +1,4 @@
-//! New settings for every copy, and when the real ones decide by them.
+//! Gives new settings to every balancer and measures when the real ones decide by them.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -17,38 +17,38 @@
 use crate::scenario::{Scenario, SettingsChange};
 use crate::topology::{Carrier, CopyId, Topology};
 
-/// Wait between two calls that ask whether new settings are in force.
+/// Time between two calls that check whether new settings are in force.
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
-/// Time that such a call has.
+/// Time limit of such a call.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(1);
-/// How the answer to a call starts whose class is in force.
+/// Start of the response to a call whose class is in force.
 const OK_STATUS_LINE: &[u8] = b"HTTP/1.1 200";
-/// Where hollow copies would listen; nothing does.
+/// Listen address in the settings of hollow balancers, which do not listen.
 const UNUSED_ADDRESS: SocketAddr = SocketAddr::new(std::net::IpAddr::V4(std::net::Ipv4Addr::LOCALHOST), 1);
 
-/// Hands out new settings.
+/// Rolls out new settings to the fleet.
 pub struct SettingsRollout<'a> {
     scenario: &'a Scenario,
     topology: &'a Topology,
     record: &'a Arc<Record>,
     deadline: Instant,
-    /// Calls that polled_balancers so far; their ids differ by it.
-    polled_balancers: u64,
+    /// Settings given to real balancers so far; makes the request ids of each one's checks unique.
+    rollouts: u64,
 }
 
 impl<'a> SettingsRollout<'a> {
-    /// Those of a scenario; what is not in force at `until` never was.
+    /// Rollout of a scenario's settings; what is not in force at `deadline` counts as missed.
     pub fn new(
         scenario: &'a Scenario,
         topology: &'a Topology,
         record: &'a Arc<Record>,
         deadline: Instant,
     ) -> Self {
-        Self { scenario, topology, record, deadline, polled_balancers: 0 }
+        Self { scenario, topology, record, deadline, rollouts: 0 }
     }
 
-    /// Hands the new settings to every copy at once. A class more is polled_balancers for at the real ones until it is served;
-    /// of other changes nothing can be told from outside.
+    /// Gives the new settings to every balancer at once. If they add a class, each real balancer is called with that
+    /// class until it serves it. Whether other changes are in force can't be observed from outside.
     pub fn start(&mut self, fleet: &Fleet, tasks: &mut JoinSet<Result<(), RunError>>) {
         for (number, copy) in self.topology.copies.iter().enumerate() {
             let text = self.configuration_text(fleet, CopyId(number), UNUSED_ADDRESS);
@@ -60,12 +60,12 @@
         }
         for balancer in &fleet.balancers {
             let text = self.configuration_text(fleet, balancer.copy, balancer.address);
-            self.polled_balancers += 1;
+            self.rollouts += 1;
             tasks.spawn(reload(balancer.clone(), text));
             if self.scenario.changes.settings_kind == SettingsChange::AddClass {
                 tasks.spawn(wait_until_served(
                     balancer.address,
-                    self.polled_balancers,
+                    self.rollouts,
                     self.deadline,
                     self.record.clone(),
                 ));
@@ -92,10 +92,10 @@
     Ok(balancer.process.lock().await.replace_configuration(&text)?)
 }
 
-/// Calls the new class until it is served, and notes how long that took.
+/// Calls a balancer with the new class until it is served, and records how long that took.
 async fn wait_until_served(
     address: SocketAddr,
-    poll_id: u64,
+    rollout_id: u64,
     deadline: Instant,
     record: Arc<Record>,
 ) -> Result<(), RunError> {
@@ -103,7 +103,7 @@
     let mut attempts = 0;
     while Instant::now() < deadline {
         attempts += 1;
-        let id = poll_id << 32 | attempts;
+        let id = rollout_id << 32 | attempts;
         if let Ok(Ok(true)) = timeout(REQUEST_TIMEOUT, new_class_is_served(address, id)).await {
             record.measured().settings_in_force_us.add(start.elapsed());
             return Ok(());
--- a/scale/src/run/watch.rs
+++ b/scale/src/run/watch.rs
@@ -1,4 +1,4 @@
-//! Looks at the real balancers while the load runs: what they use, and whether they still run.
+//! Monitors the real balancers during the load: their resource usage, and whether they still run.
 
 use std::time::{Duration, Instant};
 
@@ -10,20 +10,19 @@
 use crate::process::Sampler;
 use crate::record::Record;
 
-/// Time between two looks at whether the processes run.
+/// Time between two checks whether the processes still run.
 const EXIT_CHECK_INTERVAL: Duration = Duration::from_millis(100);
-/// Looks of that kind to one at what the processes use: one a second.
+/// Checks per sample of the processes' resource usage, which makes one sample per second.
 const CHECKS_PER_SAMPLE: u32 = 10;
 
-/// A process that is looked at.
+/// A balancer with the process that its samples belong to; the process changes when a fault restarts it.
 struct MonitoredBalancer<'a> {
     balancer: &'a Balancer,
     process_id: u32,
     sampler: Sampler,
 }
 
-/// Watches until a real balancer has ended that no fault had ended. What they use counts until `ends`, the end of the
-/// load.
+/// Monitors the real balancers until one exits that no fault killed. Resource usage is sampled until `load_end`.
 pub async fn monitor_balancers(
     fleet: &Fleet,
     record: &Record,
@@ -54,7 +53,7 @@
 }
 
 impl MonitoredBalancer<'_> {
-    /// Looks at one process, which is passed over while a fault restarts it.
+    /// Checks one balancer; skips it while a fault restarts it.
     fn check(&mut self, take_sample: bool, record: &Record) -> Option<RunError> {
         let mut process = self.balancer.process.try_lock().ok()?;
         if let Some(status) = process.exit_status() {
@@ -72,7 +71,7 @@
     }
 }
 
-/// A bar over the seconds of load; hidden where standard error is no terminal.
+/// Progress bar over the seconds of load; hidden if standard error is not a terminal.
 pub fn progress_bar(shown: bool, duration_s: f64) -> ProgressBar {
     if !shown {
         return ProgressBar::hidden();
--- a/scale/src/scenario.rs
+++ b/scale/src/scenario.rs
@@ -1,4 +1,4 @@
-//! The scenario file: what a run models, for how long and with which faults.
+//! The scenario file: which fleet a run models, for how long, and with which load, changes and faults.
 
 use serde::{Deserialize, Serialize};
 
@@ -7,26 +7,26 @@
 pub mod machine;
 pub mod overrides;
 
-/// A scenario as written in TOML. Unknown keys are refused.
+/// A scenario as written in TOML. Unknown keys are errors.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Scenario {
     /// Short name, shown in the report.
     pub name: String,
-    /// What was scaled down from the fleet that is modelled, and by how much; shown in the report.
+    /// What was scaled down from the modelled fleet, and by how much; shown in the report.
     #[serde(default)]
     pub scale: String,
     /// Seconds of load.
     pub duration_s: f64,
-    /// Seconds before the load during which copies start and become ready, at most.
+    /// Maximum time in seconds for balancers to start and become ready before the load.
     #[serde(default = "defaults::ready_within_s")]
     pub ready_within_s: f64,
-    /// Seed of all chance in the run; `--seed` goes before it.
+    /// Seed of all random numbers of the run; `--seed` takes precedence.
     #[serde(default = "defaults::seed")]
     pub seed: u64,
-    /// The fleet: services, copies and places.
+    /// Services, balancers, nodes and zones.
     pub fleet: Fleet,
-    /// Calls of clients.
+    /// Load by clients.
     pub load: Load,
     /// The stand-in nodes.
     #[serde(default)]
@@ -34,63 +34,63 @@
     /// The stand-in control plane.
     #[serde(default)]
     pub control: Control,
-    /// Changes of lists and settings.
+    /// Changes of lists and settings during the load.
     #[serde(default)]
     pub changes: Changes,
-    /// Faults, each at its time.
+    /// Faults during the load.
     #[serde(default, rename = "fault")]
     pub faults: Vec<Fault>,
 }
 
-/// Sizes and places of the fleet.
+/// Sizes of the fleet.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Fleet {
-    /// Services of the hollow part; each calls the next one, the last calls the first.
+    /// Services of the hollow balancers; each calls the next one, the last calls the first.
     pub services: u32,
-    /// Hollow copies, each on a modelled node of its own.
+    /// Hollow balancers, each on a modelled node of its own.
     pub hollow: u32,
-    /// Real balancer processes, each before a service of its own; a node behind one calls the next.
+    /// Real balancer processes, each in front of its own service, whose nodes call through the next real balancer.
     pub real: u32,
     /// Stand-in nodes with sockets behind each real balancer.
     #[serde(default = "defaults::nodes_per_real")]
     pub nodes_per_real: u32,
-    /// Regions.
+    /// Number of regions.
     #[serde(default = "defaults::single")]
     pub regions: u32,
-    /// Zones in all, spread evenly over the regions.
+    /// Number of zones over all regions; a multiple of the number of regions.
     #[serde(default = "defaults::single")]
     pub zones: u32,
-    /// Memory limit told to each real balancer, in megabytes.
+    /// Memory limit in the settings of each real balancer, in megabytes.
     #[serde(default = "defaults::memory_mb")]
     pub memory_mb: u32,
-    /// Descriptor limit told to each real balancer.
+    /// Descriptor limit in the settings of each real balancer.
     #[serde(default = "defaults::sockets")]
     pub sockets: u32,
 }
 
-/// Calls of clients: open loop, arrivals drawn ahead.
+/// Load by clients. It is open-loop: arrivals are drawn beforehand and don't wait for answers.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Load {
-    /// First-hop calls a second to the real balancers.
+    /// Calls of clients per second to the real balancers.
     pub real_calls_per_s: f64,
-    /// First-hop calls a second to the hollow copies, over all of them.
+    /// Calls of clients per second to all hollow balancers together.
     #[serde(default)]
     pub hollow_calls_per_s: f64,
-    /// Calls a second sent straight to nodes of the first real service, beside the others.
+    /// Additional calls per second sent directly to nodes of the first real service.
     #[serde(default)]
     pub direct_calls_per_s: f64,
-    /// How deep calls go, and the share of each depth; the shares add up to 1.
+    /// Depths of calls with their shares, which add up to 1.
     #[serde(default = "defaults::depths")]
     pub depths: Vec<Depth>,
-    /// Share of first-hop calls of the class that must never run twice.
+    /// Share of calls in the class whose requests must not run twice.
     #[serde(default)]
     pub unsafe_share: f64,
-    /// Seconds that a client waits.
+    /// Seconds that a client waits for an answer.
     #[serde(default = "defaults::deadline_s")]
     pub deadline_s: f64,
-    /// Times that a client repeats a refused call.
+    /// Maximum retries of a refused call by the client.
     #[serde(default)]
     pub client_retries: u32,
     /// Share of clients that close their connection before the answer.
@@ -98,13 +98,13 @@
     pub leaving_share: f64,
 }
 
-/// A depth of calls.
+/// A depth of calls and how frequent it is.
 #[derive(Debug, Clone, Copy, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Depth {
     /// Hops from the client to the last node, at least 1.
     pub hops: u32,
-    /// Share of the first-hop calls.
+    /// Share of the clients' calls that have this depth.
     pub share: f64,
 }
 
@@ -112,32 +112,32 @@
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Node {
-    /// Requests worked on at a time.
+    /// Requests that it processes at the same time.
     pub cores: u32,
-    /// Mean work of a request on a warm node, in milliseconds; drawn from an exponential distribution unless
-    /// `work_fixed`.
+    /// Mean processing time of a request on a warm node, in milliseconds. It is drawn from an exponential distribution
+    /// unless `work_fixed` is set.
     pub work_ms: f64,
-    /// Every request takes just the mean work.
+    /// Whether every request takes exactly the mean processing time.
     pub work_fixed: bool,
-    /// Requests that wait for a core at most; further ones are turned away with 503 and `X-Not-Run`.
+    /// Maximum requests waiting for a core; more are rejected with 503 and `X-Not-Run`.
     pub queue: u32,
     /// Seconds until a restarted node is warm.
     pub cold_s: f64,
-    /// Part of its speed with which a restarted node begins.
+    /// Fraction of its full speed with which a restarted node begins.
     pub cold_share: f64,
-    /// A cold node falls when it gets more than this many times what it can do at that moment...
+    /// A cold node goes down when it gets more than this many times the requests that it can handle at that moment...
     pub fall_multiple: f64,
-    /// ...for so many seconds.
+    /// ...for this many seconds.
     pub fall_s: f64,
-    /// Work that a new connection costs, in milliseconds.
+    /// Processing time of a new connection, in milliseconds.
     pub connect_ms: f64,
-    /// Connections that a node holds.
+    /// Maximum connections of a node.
     pub connections: u32,
     /// Share of requests at the last hop that end in an error.
     pub error_share: f64,
-    /// Share of requests whose connection is reset under them.
+    /// Share of requests whose connection is reset before the answer.
     pub reset_share: f64,
-    /// Load reports ride on answers.
+    /// Whether answers carry load reports.
     pub load_reports: bool,
 }
 
@@ -145,60 +145,60 @@
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Control {
-    /// Replicas, 1 to 3; copy number modulo replicas says which one a copy asks.
+    /// Number of replicas, 1 to 3. A balancer calls the replica given by its number modulo this.
     pub replicas: u32,
-    /// Calls that a replica answers in a second, one after another.
+    /// Calls per second that a replica answers, one after another.
     pub calls_per_s: f64,
-    /// Calls that wait at a replica at most; further ones get 503 at once.
+    /// Maximum calls waiting at a replica; more get 503 at once.
     pub queue: u32,
-    /// Seconds between two lines of a watch with nothing to tell.
+    /// Seconds between two heartbeat lines of a watch without changes.
     pub heartbeat_s: f64,
-    /// Versions that a watch may resume from; older ones get the whole list.
+    /// Number of past versions from which a watch can resume; from older ones it gets the full list.
     pub history: u32,
-    /// Entries added to each list that get no calls: they are draining.
+    /// Extra entries in each list that only make it longer; they get no calls because they are draining.
     pub padding_entries: u32,
 }
 
-/// Changes during the load.
+/// Changes of lists and settings during the load.
 #[derive(Debug, Clone, Default, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Changes {
-    /// Changes of lists a second over the fleet: one entry's weight or a padding entry's status.
+    /// List changes per second over the whole fleet; each changes the weight of a node or of a padding entry.
     pub lists_per_s: f64,
-    /// Seconds from the start of the load at which new settings are handed to every copy.
+    /// When every balancer gets new settings, in seconds from the start of the load.
     pub settings_at_s: Vec<f64>,
-    /// What the new settings change.
+    /// What the new settings change, compared with the old ones.
     pub settings_kind: SettingsChange,
 }
 
-/// What new settings hold.
+/// What new settings change.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum SettingsChange {
-    /// A class of requests more.
+    /// They add a class of requests.
     #[default]
     AddClass,
-    /// The count of copies that send to each service.
+    /// They change the count of balancers that send to each service.
     Copies,
-    /// A text that does not parse: the old settings must stay in force.
+    /// They do not parse; the old settings must stay in force.
     Malformed,
 }
 
-/// A fault at its time.
+/// A fault and when it happens.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Fault {
-    /// Seconds from the start of the load.
+    /// Start of the fault, in seconds from the start of the load.
     pub at_s: f64,
-    /// Seconds that it lasts, where it ends by itself.
+    /// Duration in seconds, for kinds of faults that last.
     #[serde(default)]
     pub for_s: f64,
-    /// What happens.
+    /// Kind of the fault.
     pub kind: FaultKind,
-    /// Nodes, machines or replicas that it meets, where the kind does not say.
+    /// Number of nodes, machines, replicas or balancers affected, for kinds that don't imply it.
     #[serde(default = "defaults::single")]
     pub count: u32,
-    /// The zone, region or replica, where the kind needs one.
+    /// Number of the affected zone, region or first replica, for kinds that need one.
     #[serde(default)]
     pub place: u32,
 }
@@ -207,23 +207,23 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Deserialize, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum FaultKind {
-    /// Nodes fall silent, with the copies on them, and control learns of it late.
+    /// Nodes and the balancers on them stop answering, and the control plane learns of it late.
     MachineLost,
-    /// Nodes restart one after another: draining, gone, back cold.
+    /// Nodes restart one after another: each is draining, then gone, then back and cold.
     Restart,
     /// `count` of every hundred nodes of each service restart within `for_s`.
     Release,
-    /// A tenth of a zone's nodes falls silent.
+    /// A tenth of a zone's nodes stops answering.
     RackLost,
-    /// All nodes of a zone fall silent.
+    /// All nodes of a zone stop answering.
     ZoneLost,
-    /// The regions lose each other: calls between them and control replicas beyond are silent.
+    /// The regions are cut off from each other: calls to nodes and control replicas in the other region get no answer.
     RegionCut,
-    /// Control replicas are down: `count` from `place` on.
+    /// `count` control replicas are down, starting with replica number `place`.
     ControlLost,
-    /// All watches break at once.
+    /// All discovery watches are disconnected at once.
     WatchesBroken,
-    /// Real balancers are killed and started again.
+    /// Real balancers are killed and restarted.
     BalancerKilled,
 }
 
--- a/scale/src/scenario/check.rs
+++ b/scale/src/scenario/check.rs
@@ -1,38 +1,38 @@
-//! Whether a scenario makes sense, before anything starts.
+//! Validates a scenario before anything starts.
 
 use crate::faults::RESTART_INTERVAL_S;
 
 use super::load::{KeyError, Reason};
 use super::{Changes, Control, Depth, Fault, FaultKind, Fleet, Load, Node, Scenario};
 
-/// Longest run, in seconds.
+/// Maximum duration of a run, in seconds.
 const MAX_DURATION_S: f64 = 3600.0;
-/// Longest time of any other kind, in seconds.
+/// Maximum of any other time, in seconds.
 const MAX_TIME_S: f64 = 600.0;
-/// Shortest time that must not be nothing, in seconds.
+/// Minimum of a time that must not be 0, in seconds (in milliseconds for `node.work_ms`).
 const MIN_TIME_S: f64 = 0.001;
-/// Longest work, in milliseconds.
+/// Maximum processing time of a request or connection, in milliseconds.
 const MAX_WORK_MS: f64 = 10_000.0;
-/// Most calls or changes a second.
+/// Maximum calls per second.
 const MAX_RATE_PER_S: f64 = 1_000_000.0;
-/// Deepest calls.
+/// Maximum depth of calls.
 const MAX_HOPS: u32 = 64;
-/// Most hollow copies.
+/// Maximum number of hollow balancers.
 const MAX_HOLLOW: u32 = 10_000;
-/// Most real balancers; with the tool and what starts it they stay under 200 processes.
+/// Maximum number of real balancers; keeps them, the tool and what starts it under 200 processes.
 const MAX_REAL: u32 = 190;
-/// Least hollow copies of a service.
+/// Minimum hollow balancers per service.
 const MIN_HOLLOW_PER_SERVICE: u32 = 2;
-/// Fewest descriptors with which a balancer starts.
+/// Minimum descriptor limit with which a balancer starts.
 const MIN_SOCKETS: u32 = 48;
-/// How far the sum of shares may be from 1.
+/// Maximum distance of a sum of shares from 1.
 const SHARE_SUM_TOLERANCE: f64 = 1e-6;
 
 impl Scenario {
-    /// Checks every key.
+    /// Checks the value of every key.
     ///
     /// # Errors
-    /// The first key that makes no sense, and why.
+    /// The first key with an invalid value, and why it is invalid.
     pub fn check(&self) -> Result<(), KeyError> {
         if self.name.is_empty() {
             return Err(KeyError::new("name", Reason::Invalid("is empty")));
@@ -64,14 +64,18 @@
         reject_if(
             !self.zones.is_multiple_of(self.regions),
             "fleet.zones",
-            "are not spread evenly over the regions",
+            "must be a multiple of fleet.regions",
+        )?;
+        reject_if(self.hollow + self.real == 0, "fleet.hollow", "must be above 0 if fleet.real is 0")?;
+        reject_if(
+            self.hollow > 0 && self.services == 0,
+            "fleet.services",
+            "must be above 0 if fleet.hollow is",
         )?;
-        reject_if(self.hollow + self.real == 0, "fleet.hollow", "there is no balancer at all")?;
-        reject_if(self.hollow > 0 && self.services == 0, "fleet.services", "hollow copies need a service")?;
         reject_if(
             self.hollow > 0 && self.hollow / MIN_HOLLOW_PER_SERVICE < self.services,
             "fleet.hollow",
-            "each service needs two hollow copies at least",
+            "each service needs at least two hollow balancers",
         )
     }
 }
@@ -88,7 +92,7 @@
         reject_if(
             self.hollow_calls_per_s > 0.0 && !hollow,
             "load.hollow_calls_per_s",
-            "there is no hollow copy",
+            "there is no hollow balancer",
         )?;
         check_depths(&self.depths)?;
         check_range("load.unsafe_share", self.unsafe_share, 0.0, 1.0)?;
@@ -124,7 +128,7 @@
         check_range("node.error_share", self.error_share, 0.0, 1.0)?;
         check_range("node.reset_share", self.reset_share, 0.0, 1.0)?;
         let sum = self.error_share + self.reset_share;
-        reject_if(sum > 1.0, "node.reset_share", "with node.error_share it is more than all requests")
+        reject_if(sum > 1.0, "node.reset_share", "must not exceed 1 together with node.error_share")
     }
 }
 
@@ -162,7 +166,7 @@
         self.check_targets(key, &scenario.fleet, scenario.control.replicas)?;
         check_ends_in_load(&format!("{key}.count"), self.ends_s(), scenario.duration_s)?;
         let needs_duration = matches!(self.kind, FaultKind::RegionCut | FaultKind::ControlLost);
-        reject_if(needs_duration && self.for_s == 0.0, &for_s, "a fault of this kind lasts some time")?;
+        reject_if(needs_duration && self.for_s == 0.0, &for_s, "must be above 0 for a fault of this kind")?;
         let too_short = self.kind == FaultKind::Release && self.for_s < RESTART_INTERVAL_S;
         reject_if(too_short, &for_s, "is shorter than one restart, 2.4 s")
     }
@@ -179,7 +183,7 @@
                 check_index(&place, self.place, fleet.zones, "zones")
             }
             FaultKind::RegionCut => {
-                reject_if(fleet.regions != 2, "fleet.regions", "a cut is modelled between two regions")?;
+                reject_if(fleet.regions != 2, "fleet.regions", "must be 2 for a region-cut fault")?;
                 check_index(&place, self.place, fleet.regions, "regions")
             }
             FaultKind::ControlLost => {
--- a/scale/src/scenario/load.rs
+++ b/scale/src/scenario/load.rs
@@ -1,4 +1,4 @@
-//! Reads a scenario from its file and names file, key and reason of what makes no sense.
+//! Reads a scenario from its file; errors name the file, the key and the reason.
 
 use std::fs;
 use std::io;
@@ -18,129 +18,129 @@
     /// The file cannot be read.
     #[error("{}: cannot be read: {cause}", file.display())]
     Read {
-        /// The file.
+        /// Path of the scenario file.
         file: PathBuf,
-        /// Why.
+        /// Cause of the error.
         cause: io::Error,
     },
-    /// The file is no TOML.
+    /// The file is not valid TOML.
     #[error("{}: line {line}: {reason}", file.display())]
     Syntax {
-        /// The file.
+        /// Path of the scenario file.
         file: PathBuf,
-        /// The line, from 1.
+        /// Line number, from 1.
         line: usize,
-        /// What the parser says.
+        /// Message of the parser.
         reason: String,
     },
-    /// A key or its value makes no sense.
+    /// A key or its value is invalid.
     #[error("{}: {cause}", file.display())]
     Key {
-        /// The file.
+        /// Path of the scenario file.
         file: PathBuf,
-        /// The key and the reason.
+        /// Invalid key and the reason.
         cause: KeyError,
     },
 }
 
-/// A key that makes no sense, and why.
+/// An invalid key or value, and why it is invalid.
 #[derive(Debug, Clone, PartialEq, Error)]
 #[error("{key}: {reason}")]
 pub struct KeyError {
-    /// The dotted path of the key.
+    /// Dotted path of the key.
     pub key: String,
-    /// Why.
+    /// Cause of the error.
     pub reason: Reason,
 }
 
 impl KeyError {
-    /// The error of a key.
+    /// Creates the error for a key.
     pub fn new(key: impl Into<String>, reason: Reason) -> Self {
         Self { key: key.into(), reason }
     }
 }
 
-/// What is wrong with a key.
+/// What is wrong with a key or its value.
 #[derive(Debug, Clone, PartialEq, Error)]
 pub enum Reason {
-    /// The key is unknown or missing, or its value is of another type.
+    /// The key is unknown or missing, or its value has the wrong type.
     #[error("{0}")]
     InvalidForm(String),
     /// `--set` without a value.
-    #[error("has no value: it is set by key=value")]
+    #[error("has no value: expected key=value")]
     NoValue,
-    /// A path with an empty name in it.
+    /// A path with an empty component.
     #[error("has an empty name in its path")]
     EmptyName,
-    /// The path goes through a number or a string.
-    #[error("holds no keys")]
+    /// The path goes through a value that is neither a table nor an array.
+    #[error("is not a table or an array")]
     NotAContainer,
-    /// An array's entry is named by its number.
-    #[error("an entry of an array is named by its number, from 0")]
+    /// An array entry is not given by its index.
+    #[error("an array entry must be given by its index, from 0")]
     NotAnIndex,
-    /// A number without a value.
+    /// A number that is infinite or NaN.
     #[error("is not a finite number")]
     NotFinite,
     /// A number that is too small or too large.
     #[error("is {value}, but must be from {min} to {max}")]
     OutOfRange {
-        /// What stands there.
+        /// Value of the key.
         value: f64,
-        /// The least that makes sense.
+        /// Smallest allowed value.
         min: f64,
-        /// The most that makes sense.
+        /// Largest allowed value.
         max: f64,
     },
-    /// Shares that are not a whole.
+    /// Shares that do not add up to 1.
     #[error("the shares add up to {sum}, not to 1")]
     ShareSum {
-        /// Their sum.
+        /// Sum of the shares.
         sum: f64,
     },
-    /// A place or entry that does not exist.
+    /// A reference to more things than exist, such as a zone number that is too large.
     #[error("is out of range: there are {count} {what}")]
     TooFew {
-        /// What is counted.
+        /// Plural name of the things, for the message.
         what: &'static str,
         /// How many there are.
         count: u64,
     },
-    /// Two keys do not fit together.
+    /// Another invalid value, often one that conflicts with another key.
     #[error("{0}")]
     Invalid(&'static str),
-    /// After the end of the load.
-    #[error("ends at {ends_s} s, after the load's {duration_s} s")]
+    /// A time after the end of the load.
+    #[error("ends at {ends_s} s, but the load ends at {duration_s} s")]
     AfterLoadEnd {
-        /// When it ends, in seconds.
+        /// Time of the end, in seconds from the start of the load.
         ends_s: f64,
-        /// The seconds of load.
+        /// Duration of the load in seconds.
         duration_s: f64,
     },
-    /// More than this machine has.
-    #[error("needs {needed} {unit}, and this machine allows {allowed}")]
+    /// The scenario needs more than this machine allows.
+    #[error("needs {needed} {unit}, but this machine allows {allowed}")]
     OverMachineLimit {
-        /// What the scenario needs.
+        /// Amount that the scenario needs.
         needed: u64,
-        /// What may be used.
+        /// Amount that a run may use.
         allowed: u64,
-        /// Of what.
+        /// Unit of both amounts.
         unit: &'static str,
     },
 }
 
-/// Reads a scenario, puts `overrides` (`key=value`) before what the file says, and checks its sense.
+/// Reads a scenario file, applies `overrides` (`key=value`) and validates the result.
 ///
 /// # Errors
-/// The file cannot be read, or it makes no sense.
+/// The file cannot be read, or the scenario is invalid.
 pub fn load(file: &Path, overrides: &[String]) -> Result<Scenario, ScenarioError> {
     let text = fs::read_to_string(file).map_err(|cause| ScenarioError::Read { file: file.into(), cause })?;
     parse(file, &text, overrides)
 }
 
-/// Does the same with a text; `file` is named in errors only.
+/// Parses the text of a scenario, applies `overrides` and validates the result; `file` is used in errors only.
 ///
 /// # Errors
-/// The text makes no sense.
+/// The scenario is invalid.
 pub fn parse(file: &Path, text: &str, overrides: &[String]) -> Result<Scenario, ScenarioError> {
     let with_file = |cause| ScenarioError::Key { file: file.into(), cause };
     let mut table: Table = text.parse().map_err(|error| syntax(file, text, &error))?;
@@ -152,10 +152,10 @@
     Ok(scenario)
 }
 
-/// Checks a scenario against what a machine allows; `file` is named in errors only.
+/// Checks a scenario against the limits of a machine; `file` is used in errors only.
 ///
 /// # Errors
-/// The scenario needs more.
+/// The scenario needs more than the machine allows.
 pub fn check_machine(file: &Path, scenario: &Scenario, machine: &Machine) -> Result<(), ScenarioError> {
     machine.check(scenario).map_err(|cause| ScenarioError::Key { file: file.into(), cause })
 }
--- a/scale/src/scenario/machine.rs
+++ b/scale/src/scenario/machine.rs
@@ -1,4 +1,4 @@
-//! What this machine allows a run: half of its memory and the descriptors of the process.
+//! Limits of this machine for a run: half of its memory, and the file descriptors of this process.
 
 use std::fs;
 use std::io;
@@ -8,63 +8,64 @@
 use super::Scenario;
 use super::load::{KeyError, Reason};
 
-/// Memory of a hollow copy with its modelled node, in megabytes; an estimate with room.
+/// Memory of a hollow balancer with its modelled node, in megabytes; a generous estimate.
 const MB_PER_HOLLOW: u64 = 1;
 /// Memory of the tool itself, in megabytes.
 const TOOL_MB: u64 = 100;
-/// Descriptors of a hollow copy: its control listener and both ends of its watch.
+/// Descriptors of a hollow balancer: its listener in the control plane and both ends of its watch.
 const DESCRIPTORS_PER_HOLLOW: u64 = 3;
-/// Descriptors of the tool itself, with log, report, pipes and timers.
+/// Descriptors of the tool itself, for log, report, pipes and timers.
 const TOOL_DESCRIPTORS: u64 = 100;
-/// Descriptors that control holds for a real balancer: a listener and a watch.
+/// Descriptors of the control plane for a real balancer: a listener and a watch.
 const DESCRIPTORS_PER_REAL: u64 = 2;
 
-/// The limits of a machine.
+/// Limits of a machine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Machine {
-    /// Memory in all, in megabytes.
+    /// Total memory in megabytes.
     pub memory_mb: u64,
-    /// Descriptors that this process may hold.
+    /// File descriptors that this process may open.
     pub descriptors: u64,
 }
 
-/// Why the limits cannot be told.
+/// Why the limits cannot be determined.
 #[derive(Debug, Error)]
 pub enum MachineError {
-    /// A file of the kernel cannot be read.
+    /// A file in `/proc` cannot be read.
     #[error("cannot read {path}: {cause}")]
     Read {
-        /// The file.
+        /// Path of the file.
         path: &'static str,
-        /// Why.
+        /// Cause of the error.
         cause: io::Error,
     },
-    /// A file of the kernel does not say what is looked for.
-    #[error("{path} does not tell {line_start:?}")]
+    /// A file in `/proc` lacks the expected line or number.
+    #[error("{path} has no line with {line_start:?} and a number")]
     NumberNotFound {
-        /// The file.
+        /// Path of the file.
         path: &'static str,
-        /// The start of the line.
+        /// Start of the line.
         line_start: &'static str,
     },
 }
 
 impl Machine {
-    /// Looks at this machine and process.
+    /// Reads the limits of this machine and process.
     ///
     /// # Errors
-    /// The kernel does not tell.
+    /// A limit cannot be read from `/proc`.
     pub fn detect() -> Result<Self, MachineError> {
         let memory_kb = read_number("/proc/meminfo", "MemTotal:")?;
         let descriptors = read_number("/proc/self/limits", "Max open files")?;
         Ok(Self { memory_mb: memory_kb / 1024, descriptors })
     }
 
-    /// Whether a scenario keeps within half of the memory and within the descriptors. Each connection of a real
-    /// balancer has its other end in this process, so that their limits bound what is needed here.
+    /// Checks that a scenario needs at most half of the memory, and no more than the descriptors of this process. Each
+    /// connection of a real balancer has its other end in this process, so the balancers' descriptor limits also bound
+    /// what this process needs.
     ///
     /// # Errors
-    /// The scenario needs more; the key with which to lower it is named.
+    /// The scenario needs more. The error names the key that lowers the need.
     pub fn check(&self, scenario: &Scenario) -> Result<(), KeyError> {
         let fleet = &scenario.fleet;
         let (hollow, real) = (u64::from(fleet.hollow), u64::from(fleet.real));
@@ -86,7 +87,7 @@
     Ok(())
 }
 
-/// The first number of the line that starts with `line`; a limit that is none counts as the highest number.
+/// Reads the first number after `line_start` at the start of a line; `unlimited` counts as the largest number.
 fn read_number(path: &'static str, line_start: &'static str) -> Result<u64, MachineError> {
     let text = fs::read_to_string(path).map_err(|cause| MachineError::Read { path, cause })?;
     let after_start = text.lines().find_map(|text| text.strip_prefix(line_start));
--- a/scale/src/scenario/overrides.rs
+++ b/scale/src/scenario/overrides.rs
@@ -4,20 +4,20 @@
 
 use super::load::{KeyError, Reason};
 
-/// A key by its dotted path, and the value that goes before the file's.
+/// A value that takes precedence over the file's, with the dotted path of its key.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Override {
-    /// Names of tables and numbers of array entries, outermost first.
+    /// Names of keys and indexes of array entries, outermost first.
     path: Vec<String>,
-    /// The value.
+    /// Value to set.
     value: Value,
 }
 
 impl Override {
-    /// Reads `key=value`. A value that is no TOML is taken as a string.
+    /// Parses `key=value`. A value that is not valid TOML is taken as a string.
     ///
     /// # Errors
-    /// There is no `=`, or a part of the key is empty.
+    /// There is no `=`, or a component of the key is empty.
     pub fn parse(text: &str) -> Result<Self, KeyError> {
         let Some((key, value)) = text.split_once('=') else {
             return Err(KeyError::new(text, Reason::NoValue));
@@ -29,10 +29,10 @@
         Ok(Self { path, value: parse_value(value.trim()) })
     }
 
-    /// Puts the value in its container.
+    /// Sets the value in a parsed scenario file; missing tables are created.
     ///
     /// # Errors
-    /// The path leads through a value that holds no others, or past the end of an array.
+    /// The path goes through a value that is neither a table nor an array, or past the end of an array.
     pub fn apply(&self, table: &mut Table) -> Result<(), KeyError> {
         let (last, parents) = self.path.split_last().ok_or(KeyError::new("", Reason::EmptyName))?;
         let mut container = Container::Table(table);
@@ -45,7 +45,7 @@
     }
 }
 
-/// A value that holds others.
+/// A value that contains other values.
 enum Container<'a> {
     Table(&'a mut Table),
     Array(&'a mut Vec<Value>),
@@ -81,7 +81,7 @@
     array.get_mut(index).ok_or(Reason::TooFew { what: "entries", count: count as u64 })
 }
 
-/// The name under which a value is read.
+/// Key under which a single value is parsed as TOML.
 const VALUE_KEY: &str = "value";
 
 fn parse_value(text: &str) -> Value {
--- a/scale/src/slopes.rs
+++ b/scale/src/slopes.rs
@@ -1,4 +1,4 @@
-//! Slopes: the same small scenario at several sizes, and what one more of the size costs.
+//! Runs a small scenario at several sizes and fits lines, whose slopes show what one more unit of size costs.
 
 use std::time::Instant;
 
@@ -16,49 +16,49 @@
 use kinds::{Axis, Figure};
 pub use kinds::{SlopeKind, SlopeScenarioError};
 
-/// All slopes that were asked for.
+/// Report of all requested slopes.
 #[derive(Debug, Clone, Serialize)]
 pub struct SlopesReport {
-    /// The seed of all chance.
+    /// Seed of all random numbers.
     pub seed: u64,
-    /// A run of it did not come to its end.
+    /// Whether a run ended early.
     pub partial: bool,
-    /// Why.
+    /// Why the run ended early.
     pub partial_reason: Option<String>,
-    /// The slopes.
+    /// Measured slopes, in the requested order.
     pub slopes: Vec<Slope>,
 }
 
-/// One slope.
+/// A scenario measured at several sizes.
 #[derive(Debug, Clone, Serialize)]
 pub struct Slope {
-    /// Its name.
+    /// Kind of the slope.
     pub name: SlopeKind,
-    /// What its sizes count.
+    /// Unit of its sizes.
     pub sizes: Axis,
-    /// Seconds that it took.
+    /// Seconds that the measurement took.
     pub took_s: f64,
-    /// What was measured at each size, with the line through it.
+    /// Figures measured at each size, each with a fitted line.
     pub figures: Vec<FittedFigure>,
 }
 
-/// A figure at each size, with the line through it.
+/// A figure measured at each size, with the fitted line.
 #[derive(Debug, Clone, Serialize)]
 pub struct FittedFigure {
-    /// Its name.
+    /// Name of the figure.
     pub name: &'static str,
-    /// Its unit; that of the slope is this for one more of the size.
+    /// Unit of the values. The slope is in this unit per unit of size.
     pub unit: &'static str,
-    /// What was measured.
+    /// Measured values by size.
     pub points: Vec<Point>,
-    /// The line; `None` where too little was measured.
+    /// Fitted line; `None` if there are too few points.
     pub fit: Option<Fit>,
 }
 
-/// Measures slopes one after another; stops at the first run that is partial.
+/// Measures slopes one after another; stops after the first run that is partial.
 ///
 /// # Errors
-/// A scenario of a slope makes no sense, or this machine cannot carry it.
+/// A slope's scenario is invalid or needs more than this machine allows.
 pub async fn measure(
     kinds: &[SlopeKind],
     seed: u64,
@@ -70,7 +70,7 @@
         let start = Instant::now();
         let mut figures: Vec<FittedFigure> = kind.figures().iter().map(FittedFigure::new).collect();
         for sized in kind.scenarios(seed)? {
-            info!(slope = kind.name(), size = sized.size, "measures");
+            info!(slope = kind.name(), size = sized.size, "measuring");
             let run_report = run(&sized.scenario, options, interrupt.interrupted()).await;
             for (figure, fitted) in kind.figures().iter().zip(&mut figures) {
                 fitted.points.extend(points(figure, sized.size, &run_report));
@@ -99,12 +99,12 @@
     }
 }
 
-/// The points that a run gives: one at its size, or one for each depth.
+/// Points of a figure from one run: one at the run's size, or one for each depth of calls.
 fn points(figure: &Figure, size: f64, report: &Report) -> Vec<Point> {
     (figure.measure)(report, size)
 }
 
-/// The table of slopes.
+/// Builds the table of slopes.
 #[must_use]
 pub fn slopes_table(report: &SlopesReport) -> Table {
     let mut table = Table::default();
@@ -140,7 +140,7 @@
     table.add_row(cells);
 }
 
-/// Four figures.
+/// Formats a value with four significant digits.
 fn four_digits(value: f64) -> String {
     if value == 0.0 {
         return "0".to_owned();
--- a/scale/src/slopes/kinds.rs
+++ b/scale/src/slopes/kinds.rs
@@ -1,4 +1,4 @@
-//! The slopes that are measured: sizes, scenarios and figures.
+//! The kinds of slopes with their sizes, scenarios and figures.
 
 use clap::ValueEnum;
 use serde::Serialize;
@@ -10,67 +10,67 @@
 use crate::scenario::load::{ScenarioError, check_machine, parse};
 use crate::scenario::machine::{Machine, MachineError};
 
-/// A slope.
+/// A kind of slope, named after the size that varies.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, ValueEnum)]
 #[serde(rename_all = "kebab-case")]
 pub enum SlopeKind {
-    /// Hollow copies, with lists of the same length.
+    /// Hollow balancers, with lists of constant length.
     Copies,
-    /// Entries of the list of one idle real balancer.
+    /// Entries in the list of one idle real balancer.
     ListEntries,
-    /// Changes a second of the list of one idle real balancer.
+    /// Changes per second of the list of one idle real balancer.
     Changes,
-    /// Calls a second through one real balancer.
+    /// Calls per second through one real balancer.
     Calls,
     /// Hops of calls through a ring of real balancers.
     Depth,
 }
 
-/// What the sizes of a slope count.
+/// Unit of the sizes of a slope.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 pub struct Axis {
-    /// Several of it.
+    /// Plural name.
     pub name: &'static str,
-    /// One of it.
+    /// Singular name.
     #[serde(rename = "one")]
     pub singular: &'static str,
 }
 
-/// A figure that is taken from the report of each run.
+/// A figure that is computed from the report of each run.
 pub(super) struct Figure {
     pub(super) name: &'static str,
     pub(super) unit: &'static str,
-    /// The points that a run of a size gives.
+    /// Computes the figure's points from the report and the size of a run.
     pub(super) measure: fn(&Report, f64) -> Vec<Point>,
 }
 
 /// The scenario of a slope at one size.
 #[derive(Debug, Clone)]
 pub struct SizedScenario {
-    /// The size.
+    /// Size at which it measures.
     pub size: f64,
-    /// The scenario.
+    /// Scenario to run.
     pub scenario: Scenario,
 }
 
 /// Why a slope cannot be measured.
 #[derive(Debug, Error)]
 pub enum SlopeScenarioError {
-    /// Its scenario makes no sense, or this machine cannot carry it.
+    /// Its scenario is invalid or needs more than this machine allows.
     #[error(transparent)]
     Scenario(#[from] ScenarioError),
-    /// The machine's limits cannot be told.
+    /// The limits of the machine cannot be determined.
     #[error(transparent)]
     Machine(#[from] MachineError),
 }
 
-/// Microseconds of processor time in a second of a percent of a core.
+/// Microseconds of processor time per second that one percent of a core is.
 const US_PER_CORE_PERCENT: f64 = 10_000.0;
 /// Kilobytes in a megabyte.
 const KB_PER_MB: f64 = 1024.0;
 /// Milliseconds in a second.
 const MS_PER_S: f64 = 1000.0;
-/// Copies and nodes of each service where the number of copies changes.
+/// Hollow balancers and nodes per service in the slope over balancers; keeps the length of lists constant.
 const HOLLOW_PER_SERVICE: u32 = 20;
 
 const COPIES_SCENARIO: &str = include_str!("copies.toml");
@@ -80,7 +80,7 @@
 const DEPTH_SCENARIO: &str = include_str!("depth.toml");
 
 impl SlopeKind {
-    /// Its name.
+    /// Name on the command line and in reports.
     #[must_use]
     pub fn name(self) -> &'static str {
         match self {
@@ -92,7 +92,7 @@
         }
     }
 
-    /// What its sizes count.
+    /// Unit of its sizes.
     pub(super) fn axis(self) -> Axis {
         match self {
             Self::Copies => Axis { name: "copies", singular: "copy" },
@@ -103,10 +103,10 @@
         }
     }
 
-    /// Its scenarios, one for each size; depths are all played in one.
+    /// Its scenarios, one for each size; the slope over depths measures all of them in one run.
     ///
     /// # Errors
-    /// One makes no sense, or this machine cannot carry it.
+    /// A scenario is invalid or needs more than this machine allows.
     pub fn scenarios(self, seed: u64) -> Result<Vec<SizedScenario>, SlopeScenarioError> {
         let machine = Machine::detect()?;
         let mut scenarios = Vec::new();
@@ -181,48 +181,48 @@
 const MEMORY_FIGURE: Figure = Figure { name: "memory", unit: "KB", measure: memory };
 const CONTROL_BYTES_FIGURE: Figure = Figure { name: "bytes from control", unit: "B/s", measure: bytes };
 
-fn point(size: f64, value: Option<f64>) -> Vec<Point> {
+fn measured_point(size: f64, value: Option<f64>) -> Vec<Point> {
     value.into_iter().map(|y| Point { x: size, y }).collect()
 }
 
 fn hollow_core(report: &Report, size: f64) -> Vec<Point> {
-    point(size, report.hollow_core_percent.map(|percent| percent * size))
+    measured_point(size, report.hollow_core_percent.map(|percent| percent * size))
 }
 
 fn tool_memory(report: &Report, size: f64) -> Vec<Point> {
-    point(size, report.tool_memory_mb.map(|memory| memory * KB_PER_MB))
+    measured_point(size, report.tool_memory_mb.map(|memory| memory * KB_PER_MB))
 }
 
 fn list_delivery_p50(report: &Report, size: f64) -> Vec<Point> {
-    point(size, report.list_delivery_s.map(|delay| delay.p50 * MS_PER_S))
+    measured_point(size, report.list_delivery_s.map(|delay| delay.p50 * MS_PER_S))
 }
 
 fn list_delivery_max(report: &Report, size: f64) -> Vec<Point> {
-    point(size, report.list_delivery_s.map(|delay| delay.max * MS_PER_S))
+    measured_point(size, report.list_delivery_s.map(|delay| delay.max * MS_PER_S))
 }
 
 fn idle_core(report: &Report, size: f64) -> Vec<Point> {
-    point(size, report.control_core_percent.map(|percent| percent.mean))
+    measured_point(size, report.control_core_percent.map(|percent| percent.mean))
 }
 
 fn memory(report: &Report, size: f64) -> Vec<Point> {
-    point(size, report.memory_mb.map(|memory| memory.mean * KB_PER_MB))
+    measured_point(size, report.memory_mb.map(|memory| memory.mean * KB_PER_MB))
 }
 
 fn bytes(report: &Report, size: f64) -> Vec<Point> {
-    point(size, report.control_bytes_per_s.map(|bytes| bytes.mean))
+    measured_point(size, report.control_bytes_per_s.map(|bytes| bytes.mean))
 }
 
 fn balancer_core_us(report: &Report, size: f64) -> Vec<Point> {
-    point(size, report.balancer_core_percent.map(|percent| percent.mean * US_PER_CORE_PERCENT))
+    measured_point(size, report.balancer_core_percent.map(|percent| percent.mean * US_PER_CORE_PERCENT))
 }
 
 fn added_p50(report: &Report, size: f64) -> Vec<Point> {
-    point(size, report.added_latency_us.map(|added| added.p50 as f64))
+    measured_point(size, report.added_latency_us.map(|added| added.p50 as f64))
 }
 
 fn added_p99(report: &Report, size: f64) -> Vec<Point> {
-    point(size, report.added_latency_us.map(|added| added.p99 as f64))
+    measured_point(size, report.added_latency_us.map(|added| added.p99 as f64))
 }
 
 fn depth_p50(report: &Report, _: f64) -> Vec<Point> {
--- a/scale/src/table.rs
+++ b/scale/src/table.rs
@@ -1,10 +1,10 @@
-//! The report as a table for people.
+//! Prints a report as an aligned text table.
 
 use std::fmt::{self, Display, Formatter};
 
 use crate::report::{AttemptsPerCall, Delay, Latency, MeanMax, Recovery, Report};
 
-/// What stands where there is no figure.
+/// Cell text for a missing value.
 const NO_VALUE: &str = "-";
 /// Spaces between columns.
 const COLUMN_GAP: usize = 2;
@@ -21,12 +21,12 @@
 }
 
 impl Table {
-    /// Begins a section; the one before it and this are set apart by an empty line.
+    /// Starts a section. Sections are separated by an empty line.
     pub fn start_section(&mut self) {
         self.sections.push(Section::default());
     }
 
-    /// Adds a row to the section.
+    /// Adds a row to the current section.
     pub fn add_row<T: Display>(&mut self, cells: impl IntoIterator<Item = T>) {
         let row = cells.into_iter().map(|cell| cell.to_string()).collect();
         match self.sections.last_mut() {
@@ -73,7 +73,7 @@
     }
 }
 
-/// The table of a report.
+/// Builds the table of a report.
 #[must_use]
 pub fn report_table(report: &Report) -> Table {
     let mut table = Table::default();
@@ -186,7 +186,8 @@
 
 fn add_delays(table: &mut Table, report: &Report) {
     table.add_row(["changes", "p50", "p99", "max", "copies"]);
-    let stale = report.balancers_with_stale_list.map(|copies| format!("{copies} copies behind at the end"));
+    let stale =
+        report.balancers_with_stale_list.map(|balancers| format!("{balancers} copies behind at the end"));
     let changed = ["lists changed".to_owned(), report.list_changes.to_string()];
     table.add_row(changed.into_iter().chain(stale));
     add_delay(table, "list told", report.list_delivery_s);
--- a/scale/src/topology.rs
+++ b/scale/src/topology.rs
@@ -1,20 +1,20 @@
-//! Who stands where: services, nodes and copies of a scenario, the same for each run of one seed.
+//! Layout of the modelled fleet: services, nodes and balancers of a scenario and their zones and regions.
 
 use crate::scenario::Fleet;
 
-/// Position of a service in [`Topology::services`]: the hollow ones first, then one for each real balancer.
+/// Index of a service in [`Topology::services`]: hollow services first, then one for each real balancer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct ServiceId(pub usize);
 
-/// Position of a node in [`Topology::nodes`].
+/// Index of a node in [`Topology::nodes`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct NodeId(pub usize);
 
-/// Position of a balancer copy in [`Topology::copies`].
+/// Index of a balancer instance in [`Topology::copies`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct CopyId(pub usize);
 
-/// Number of a zone over all regions.
+/// Number of a zone, unique over all regions.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct ZoneId(pub u32);
 
@@ -22,77 +22,77 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct RegionId(pub u32);
 
-/// How a part of the fleet is carried.
+/// Whether a node or balancer runs on real sockets or is modelled in memory.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Carrier {
-    /// On sockets: a stand-in node, or a process of the release binary.
+    /// On sockets: a stand-in node, or a balancer process.
     Real,
-    /// In memory: a modelled node, or a hollow copy.
+    /// In memory: a modelled node, or a hollow balancer.
     Hollow,
 }
 
-/// A service: nodes that do the same.
+/// A service: a group of interchangeable nodes.
 #[derive(Debug, Clone)]
 pub struct Service {
-    /// Its name.
+    /// Unique name.
     pub name: String,
-    /// How its nodes are carried.
+    /// Whether its nodes have sockets or are modelled.
     pub carrier: Carrier,
-    /// The service that its nodes call.
+    /// Service that its nodes call for requests with more hops.
     pub next: ServiceId,
-    /// Its nodes.
+    /// Nodes of the service.
     pub nodes: Vec<NodeId>,
-    /// The copies that send to it.
+    /// Balancers that send requests to it.
     pub copies: Vec<CopyId>,
 }
 
-/// A node.
+/// A node that serves requests.
 #[derive(Debug, Clone)]
 pub struct Node {
-    /// Its name, as control lists it.
+    /// Name in the control plane's list.
     pub name: String,
-    /// Its service.
+    /// Service that the node belongs to.
     pub service: ServiceId,
-    /// Its zone.
+    /// Zone in which it runs.
     pub zone: ZoneId,
-    /// The copy through which it calls the next service; nodes behind one real balancer share one.
+    /// Balancer through which it calls the next service; nodes behind one real balancer share one.
     pub calls_through: CopyId,
 }
 
-/// A balancer copy.
+/// A balancer instance.
 #[derive(Debug, Clone)]
 pub struct Copy {
-    /// Its name.
+    /// Unique name.
     pub name: String,
-    /// How it is carried.
+    /// Whether it is a real process or a hollow balancer.
     pub carrier: Carrier,
-    /// The service that it sends to.
+    /// Service to which it sends requests.
     pub target: ServiceId,
-    /// Its zone.
+    /// Zone in which it runs.
     pub zone: ZoneId,
-    /// Its number among the copies that send to the service.
+    /// Its number among the balancers that send to the same service.
     pub index: u32,
 }
 
-/// The whole fleet.
+/// Layout of the whole fleet.
 #[derive(Debug, Clone)]
 pub struct Topology {
-    /// The services.
+    /// All services, indexed by [`ServiceId`].
     pub services: Vec<Service>,
-    /// The nodes.
+    /// All nodes, indexed by [`NodeId`].
     pub nodes: Vec<Node>,
-    /// The copies.
+    /// All balancers, indexed by [`CopyId`].
     pub copies: Vec<Copy>,
-    /// Zones in all.
+    /// Number of zones over all regions.
     pub zones: u32,
-    /// Regions.
+    /// Number of regions.
     pub regions: u32,
 }
 
 impl Topology {
-    /// Lays out the fleet. Hollow node `i` belongs to service `i` modulo the services and holds hollow copy `i`; real
-    /// balancer `k` stands before real service `k`, whose nodes call through real balancer `k + 1` (the last one's
-    /// through the first). Zones take turns, so that each service is spread over them.
+    /// Lays out the fleet. Hollow node `i` belongs to service `i` modulo the number of services and runs hollow balancer
+    /// `i`. Real balancer `k` sends to real service `k`, whose nodes call through real balancer `k + 1` (those of the last
+    /// service through the first balancer). Zones are assigned in turn, so that each service is spread over them.
     #[must_use]
     pub fn of(fleet: &Fleet) -> Self {
         let mut topology = Self {
@@ -107,13 +107,13 @@
         topology
     }
 
-    /// The name of a zone, as control and settings have it.
+    /// Name of a zone in the control plane's lists and in settings.
     #[must_use]
     pub fn zone_name(&self, zone: ZoneId) -> String {
         format!("region-{}-zone-{}", self.region(zone).0, zone.0)
     }
 
-    /// The region of a zone.
+    /// Region of a zone.
     #[must_use]
     pub fn region(&self, zone: ZoneId) -> RegionId {
         RegionId(zone.0 % self.regions)
--- a/scale/tests/cli.rs
+++ b/scale/tests/cli.rs
@@ -1,4 +1,4 @@
-//! The program: what its exit codes say.
+//! Exit codes and output of the command-line program.
 
 use std::path::Path;
 use std::process::{Command, Output};
--- a/scale/tests/cover.rs
+++ b/scale/tests/cover.rs
@@ -1,12 +1,18 @@
-//! The cover of endpoints by subsets, on the decisions themselves.
+//! How evenly balancers cover the endpoints of a service.
 
 use stilelead_scale::cover::{CoverageError, CoverageModel};
 
-fn distribution(copies: u32, old_count: u32, endpoints: u32) -> stilelead_scale::cover::CallDistribution {
-    CoverageModel { copies, old_count, endpoints, calls_per_copy: 200 }.measure(7).expect("sound sizes")
+fn distribution(
+    balancers: u32,
+    outdated_count: u32,
+    endpoints: u32,
+) -> stilelead_scale::cover::CallDistribution {
+    CoverageModel { balancers, outdated_count, endpoints, calls_per_balancer: 200 }
+        .measure(7)
+        .expect("valid sizes")
 }
 
-/// Guards the measure: copies that know their count cover the endpoints evenly, and it shows where they do not.
+/// Balancers that know their true count leave no endpoint without calls; an outdated count has to show in the result.
 #[test]
 fn an_outdated_replica_count_gives_uneven_coverage() {
     let correct = distribution(64, 64, 64);
@@ -15,9 +21,9 @@
     assert!(outdated.max_over_mean > correct.max_over_mean, "{outdated:?} against {correct:?}");
 }
 
-/// Guards against a measure of nothing.
+/// Sizes of zero would make every result meaningless.
 #[test]
-fn sizes_of_zero_are_refused() {
-    let no_copies = CoverageModel { copies: 0, old_count: 0, endpoints: 4, calls_per_copy: 1 };
-    assert!(matches!(no_copies.measure(1), Err(CoverageError::ZeroSize)));
+fn sizes_of_zero_are_rejected() {
+    let no_balancers = CoverageModel { balancers: 0, outdated_count: 0, endpoints: 4, calls_per_balancer: 1 };
+    assert!(matches!(no_balancers.measure(1), Err(CoverageError::ZeroSize)));
 }
--- a/scale/tests/fit.rs
+++ b/scale/tests/fit.rs
@@ -1,4 +1,4 @@
-//! Lines through fixed points.
+//! Lines fitted to fixed points.
 
 use stilelead_scale::fit::{Fit, Point};
 
@@ -21,7 +21,7 @@
 
 #[test]
 fn residuals_are_the_distances_of_points_from_the_line() {
-    // The line is y = 2; the points are 1 from it.
+    // The line is y = 2; each point is at a distance of 1.
     let fit = Fit::of(&points(&[(0.0, 1.0), (1.0, 3.0), (2.0, 3.0), (3.0, 1.0)])).expect("a line");
     assert_near(fit.slope, 0.0);
     assert_near(fit.intercept, 2.0);
--- a/scale/tests/plan.rs
+++ b/scale/tests/plan.rs
@@ -1,4 +1,4 @@
-//! The plan of a run: all chance is the seed's, and each fault has its steps in their order.
+//! The plan of a run: it depends only on the scenario and its seed, and each fault has its steps in order.
 
 use std::path::Path;
 use std::time::Duration;
@@ -8,7 +8,7 @@
 use stilelead_scale::scenario::load::parse;
 use stilelead_scale::topology::{Carrier, NodeId, RegionId, Topology, ZoneId};
 
-const PLAIN: &str = r#"
+const BASE_SCENARIO: &str = r#"
 name = "plain"
 seed = 5
 duration_s = 40.0
@@ -16,13 +16,13 @@
 load = { real_calls_per_s = 1.0 }
 "#;
 
-fn scenario(changes: &[&str]) -> Scenario {
-    let changes: Vec<String> = changes.iter().map(|text| (*text).to_owned()).collect();
-    parse(Path::new("plain.toml"), PLAIN, &changes).expect("a scenario")
+fn scenario(overrides: &[&str]) -> Scenario {
+    let overrides: Vec<String> = overrides.iter().map(|text| (*text).to_owned()).collect();
+    parse(Path::new("plain.toml"), BASE_SCENARIO, &overrides).expect("a scenario")
 }
 
-fn draw(changes: &[&str]) -> (Plan, Topology) {
-    let scenario = scenario(changes);
+fn draw(overrides: &[&str]) -> (Plan, Topology) {
+    let scenario = scenario(overrides);
     let topology = Topology::of(&scenario.fleet);
     (Plan::draw(&scenario, &topology), topology)
 }
@@ -39,7 +39,7 @@
     nodes.collect()
 }
 
-const SECOND: Duration = Duration::from_secs(1);
+const ONE_SECOND: Duration = Duration::from_secs(1);
 
 #[test]
 fn a_plan_depends_on_the_seed_alone() {
@@ -68,7 +68,7 @@
         ]
     };
     assert_eq!(actions, [restart(first), restart(second)].concat());
-    assert_eq!(plan.steps[1].at - plan.steps[0].at, SECOND, "a second to drain");
+    assert_eq!(plan.steps[1].at - plan.steps[0].at, ONE_SECOND, "a second to drain");
     assert!(plan.faults[0].ends_s >= plan.steps[9].at.as_secs_f64());
 }
 
@@ -78,13 +78,13 @@
     assert_eq!(silenced_nodes(&plan).len(), 5);
     let gone = step_times(&plan, |action| matches!(action, Action::Publish(_, NodeStatus::Gone)));
     assert_eq!(gone.len(), 5);
-    assert!(gone.iter().all(|at| (4 * SECOND..7 * SECOND).contains(at)), "{gone:?}");
+    assert!(gone.iter().all(|at| (4 * ONE_SECOND..7 * ONE_SECOND).contains(at)), "{gone:?}");
     let back = step_times(&plan, |action| matches!(action, Action::Restart(_) | Action::Silence(_, false)));
-    assert_eq!(back, [9 * SECOND; 10]);
+    assert_eq!(back, [9 * ONE_SECOND; 10]);
     let ready = step_times(&plan, |action| {
         matches!(action, Action::Publish(_, NodeStatus::Ready { restarted: true }))
     });
-    assert!(ready.len() == 5 && ready.iter().all(|at| *at > 9 * SECOND), "{ready:?}");
+    assert!(ready.len() == 5 && ready.iter().all(|at| *at > 9 * ONE_SECOND), "{ready:?}");
 }
 
 #[test]
@@ -119,7 +119,7 @@
         );
         assert_eq!(restarted.len(), service.nodes.len().div_ceil(2), "{}", service.name);
     }
-    assert!(plan.steps.iter().all(|step| step.at >= 3 * SECOND && step.at <= 23 * SECOND));
+    assert!(plan.steps.iter().all(|step| step.at >= 3 * ONE_SECOND && step.at <= 23 * ONE_SECOND));
 }
 
 #[test]
@@ -134,21 +134,21 @@
         }
     }
     assert_eq!(other_side.len(), 4, "half of the two balancers' eight nodes");
-    assert_eq!(step_times(&plan, |action| *action == Action::CutRegion(RegionId(1))), [3 * SECOND]);
-    assert_eq!(step_times(&plan, |action| *action == Action::RejoinRegion(RegionId(1))), [9 * SECOND]);
-    assert_eq!(step_times(&plan, |action| matches!(action, Action::Silence(_, false))), [9 * SECOND; 4]);
+    assert_eq!(step_times(&plan, |action| *action == Action::CutRegion(RegionId(1))), [3 * ONE_SECOND]);
+    assert_eq!(step_times(&plan, |action| *action == Action::RejoinRegion(RegionId(1))), [9 * ONE_SECOND]);
+    assert_eq!(step_times(&plan, |action| matches!(action, Action::Silence(_, false))), [9 * ONE_SECOND; 4]);
 }
 
 #[test]
 fn faults_of_replicas_watches_and_balancers_give_their_actions() {
     let (plan, _) = draw(&["fault=[{ kind = 'control-lost', at_s = 3, for_s = 6, place = 1, count = 2 }]"]);
     for replica in [1, 2] {
-        assert_eq!(step_times(&plan, |action| *action == Action::StopReplica(replica)), [3 * SECOND]);
-        assert_eq!(step_times(&plan, |action| *action == Action::StartReplica(replica)), [9 * SECOND]);
+        assert_eq!(step_times(&plan, |action| *action == Action::StopReplica(replica)), [3 * ONE_SECOND]);
+        assert_eq!(step_times(&plan, |action| *action == Action::StartReplica(replica)), [9 * ONE_SECOND]);
     }
     assert_eq!(plan.steps.len(), 4);
     let (plan, _) = draw(&["fault=[{ kind = 'watches-broken', at_s = 3 }]"]);
-    assert_eq!(plan.steps, [Step { at: 3 * SECOND, action: Action::BreakWatches }]);
+    assert_eq!(plan.steps, [Step { at: 3 * ONE_SECOND, action: Action::BreakWatches }]);
     let (plan, topology) = draw(&["fault=[{ kind = 'balancer-killed', at_s = 3, count = 2 }]"]);
     assert_eq!(plan.steps.len(), 2);
     for step in &plan.steps {
@@ -161,13 +161,13 @@
 fn list_changes_follow_their_rate_and_settings_their_times() {
     let (plan, _) =
         draw(&["changes.lists_per_s=20", "control.padding_entries=5", "changes.settings_at_s=[2, 30]"]);
-    assert_eq!(step_times(&plan, |action| *action == Action::NewSettings), [2 * SECOND, 30 * SECOND]);
+    assert_eq!(step_times(&plan, |action| *action == Action::NewSettings), [2 * ONE_SECOND, 30 * ONE_SECOND]);
     let weights = step_times(&plan, |action| matches!(action, Action::Weight(..))).len();
     let padding = step_times(&plan, |action| matches!(action, Action::Padding(_, 0..5, _))).len();
-    // 800 in the mean with a standard deviation of 28; the seed is fixed.
+    // The mean is 800 with a standard deviation of 28; the seed is fixed.
     assert!((700..900).contains(&(weights + padding)), "{weights} and {padding}");
     assert!(padding > 300 && weights > 300, "{weights} and {padding}");
-    assert!(plan.steps.iter().all(|step| step.at < 40 * SECOND));
+    assert!(plan.steps.iter().all(|step| step.at < 40 * ONE_SECOND));
     let (plan, _) = draw(&["changes.lists_per_s=20"]);
     assert!(step_times(&plan, |action| matches!(action, Action::Padding(..))).is_empty());
 }
--- a/scale/tests/quick.rs
+++ b/scale/tests/quick.rs
@@ -1,4 +1,4 @@
-//! A short run of the whole tool, real processes included: what must hold whatever the machine is busy with.
+//! A short run of the whole tool with real processes; checks what must hold however busy the machine is.
 
 use std::path::Path;
 
@@ -7,7 +7,7 @@
 use stilelead_scale::scenario::Scenario;
 use stilelead_scale::scenario::load::load;
 
-fn quick() -> Scenario {
+fn quick_scenario() -> Scenario {
     let file = Path::new(env!("CARGO_MANIFEST_DIR")).join("scenarios/quick.toml");
     let overrides = [
         "duration_s=8",
@@ -25,10 +25,10 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_quick_run_is_whole_and_loses_nothing() {
+async fn a_quick_run_completes_without_lost_calls() {
     let program = find_balancer_program().expect("the balancer is built along with the workspace");
     let options = Options { program, progress: false };
-    let report = run(&quick(), &options, std::future::pending()).await;
+    let report = run(&quick_scenario(), &options, std::future::pending()).await;
     assert!(!report.partial, "{:?}", report.partial_reason);
     for counts in [report.all, report.real_calls, report.hollow_calls] {
         assert!(counts.calls > 0 && counts.served > 0, "{counts:?}");
@@ -41,7 +41,7 @@
     }
     assert_eq!((report.duplicated, report.cold_falls, report.hollow_open_calls), (0, 0, Some(0)));
     assert!(report.list_changes > 0 && report.list_delivery_s.is_some() && report.list_in_force_s.is_some());
-    assert_eq!(report.balancers_with_stale_list, Some(0), "copies without the latest list");
+    assert_eq!(report.balancers_with_stale_list, Some(0), "balancers without the latest list");
     assert_eq!(report.recovery_s.len(), 2);
     assert!(report.memory_mb.is_some() && report.control_bytes_per_s.is_some());
 }
--- a/scale/tests/report.rs
+++ b/scale/tests/report.rs
@@ -1,4 +1,4 @@
-//! The report and its table on fixed inputs.
+//! The report and its table, built from fixed measurements.
 
 use std::path::Path;
 use std::time::{Duration, Instant};
@@ -11,7 +11,7 @@
 use stilelead_scale::table;
 use stilelead_scale::topology::{Carrier, CopyId};
 
-const PLAIN: &str = r#"
+const BASE_SCENARIO: &str = r#"
 name = "plain"
 scale = "a tenth"
 seed = 7
@@ -22,7 +22,7 @@
 
 fn scenario(overrides: &[&str]) -> Scenario {
     let overrides: Vec<String> = overrides.iter().map(|text| (*text).to_owned()).collect();
-    parse(Path::new("plain.toml"), PLAIN, &overrides).expect("a scenario")
+    parse(Path::new("plain.toml"), BASE_SCENARIO, &overrides).expect("a scenario")
 }
 
 fn run(scenario: &Scenario, start: Instant) -> Run<'_> {
@@ -67,7 +67,10 @@
         assert_eq!(&report[name], value, "{name}");
     }
     assert_eq!(report["depth_latency_us"]["1"]["count"], 1);
-    assert!((299_000..302_000).contains(&report["depth_latency_us"]["9"]["p99"].as_u64().expect("played")));
+    assert!(
+        (299_000..302_000)
+            .contains(&report["depth_latency_us"]["9"]["p99"].as_u64().expect("calls of this depth"))
+    );
     assert_eq!(report["depth_latency_us"]["27"], Value::Null);
     assert_eq!(report["hollow_depth_latency_us"]["5"]["count"], 1);
     assert_eq!(report["series"]["served"], json!([2, 0, 1, 0, 0, 0, 0, 0, 0, 0]));
@@ -156,7 +159,7 @@
     assert_eq!(report["in_force_s"], Value::Null);
 }
 
-/// 100 calls a second, all served but between two times, where `share` is.
+/// 100 calls per second for 10 s. All are served, except that only `share` of them is between the two times.
 fn dipped_share(from_s: f64, to_s: f64, share: f64) -> ServedShare {
     let mut shares = ServedShare::new(10.0, 1.0);
     for number in 0..1000 {
@@ -176,16 +179,16 @@
     let recovery = dipped_share(3.0, 5.0, 0.5).recovery(fault(3.0, 4.0));
     assert_eq!(recovery.share_before, Some(1.0));
     assert_eq!(recovery.lowest_share, Some(0.5));
-    let recovery_s = recovery.recovery_s.expect("it came back");
-    assert!((1.8..=2.1).contains(&recovery_s), "the second after 5.0 s holds no more failures: {recovery_s}");
+    let recovery_s = recovery.recovery_s.expect("the share recovered");
+    assert!((1.8..=2.1).contains(&recovery_s), "the second after 5.0 s has no more failures: {recovery_s}");
 }
 
 #[test]
 fn calls_in_flight_when_a_fault_begins_are_not_part_of_the_share_before_it() {
-    // Those due in the second before the fault are caught by it, as they take up to a second.
+    // Calls that arrive in the second before the fault are affected by it because they take up to a second.
     let recovery = dipped_share(2.0, 5.0, 0.5).recovery(fault(3.0, 4.0));
     assert_eq!(recovery.share_before, Some(1.0));
-    let recovery_s = recovery.recovery_s.expect("it came back");
+    let recovery_s = recovery.recovery_s.expect("the share recovered");
     assert!((1.8..=2.1).contains(&recovery_s), "{recovery_s}");
 }
 
@@ -200,9 +203,9 @@
     assert_eq!(
         dipped_share(0.0, 0.0, 1.0).recovery(fault(9.0, 9.0)).recovery_s,
         None,
-        "too near to the end to tell"
+        "too close to the end of the load"
     );
-    assert_eq!(ServedShare::new(10.0, 1.0).recovery(fault(3.0, 4.0)).recovery_s, None, "nothing was called");
+    assert_eq!(ServedShare::new(10.0, 1.0).recovery(fault(3.0, 4.0)).recovery_s, None, "there were no calls");
 }
 
 #[test]
--- a/scale/tests/scenario.rs
+++ b/scale/tests/scenario.rs
@@ -1,4 +1,4 @@
-//! Scenarios: what makes no sense is named by file, key and reason before anything starts.
+//! Scenario files: every invalid value is reported with file, key and reason before anything starts.
 
 use std::fs;
 use std::path::{Path, PathBuf};
@@ -9,7 +9,7 @@
 
 const FILE: &str = "some/plain.toml";
 
-const PLAIN: &str = r#"
+const BASE_SCENARIO: &str = r#"
 name = "plain"
 duration_s = 10.0
 
@@ -29,15 +29,15 @@
 at_s = 3.0
 "#;
 
-fn plain_with(overrides: &[&str]) -> Result<Scenario, ScenarioError> {
+fn base_with(overrides: &[&str]) -> Result<Scenario, ScenarioError> {
     let overrides: Vec<String> = overrides.iter().map(|text| (*text).to_owned()).collect();
-    parse(Path::new(FILE), PLAIN, &overrides)
+    parse(Path::new(FILE), BASE_SCENARIO, &overrides)
 }
 
-/// What is error of the plain scenario with one change: `file: key: reason`.
+/// Error message for the base scenario with one invalid change, in the form `file: key: reason`.
 fn error_text(change: &str) -> String {
-    match plain_with(&[change]) {
-        Ok(_) => panic!("{change} makes sense"),
+    match base_with(&[change]) {
+        Ok(_) => panic!("{change} is accepted"),
         Err(error) => error.to_string(),
     }
 }
@@ -60,8 +60,8 @@
         ("fleet.real=191", "fleet.real", "is 191, but must be from 0 to 190"),
         ("fleet.zones=1", "fleet.zones", "is 1, but must be from 2"),
         ("fleet.regions=0", "fleet.regions", "is 0, but must be from 1"),
-        ("fleet.zones=5", "fleet.zones", "not spread evenly"),
-        ("fleet.hollow=3", "fleet.hollow", "two hollow copies at least"),
+        ("fleet.zones=5", "fleet.zones", "must be a multiple of fleet.regions"),
+        ("fleet.hollow=3", "fleet.hollow", "each service needs at least two hollow balancers"),
         ("load.hollow_calls_per_s=-1", "load.hollow_calls_per_s", "but must be from 0"),
         ("load.unsafe_share=1.5", "load.unsafe_share", "is 1.5, but must be from 0 to 1"),
         ("load.depths.0.hops=0", "load.depths.0.hops", "is 0, but must be from 1 to 64"),
@@ -73,16 +73,24 @@
         ("node.work_ms=0", "node.work_ms", "but must be from"),
         ("control.replicas=4", "control.replicas", "is 4, but must be from 1 to 3"),
         ("control.calls_per_s=0", "control.calls_per_s", "but must be from"),
-        ("changes.settings_at_s=[1, 11]", "changes.settings_at_s.1", "ends at 11 s, after the load's 10 s"),
-        ("fault.0.at_s=11", "fault.0.at_s", "ends at 11 s, after the load's 10 s"),
-        ("fault.0.for_s=8", "fault.0.for_s", "ends at 11 s, after the load's 10 s"),
+        (
+            "changes.settings_at_s=[1, 11]",
+            "changes.settings_at_s.1",
+            "ends at 11 s, but the load ends at 10 s",
+        ),
+        ("fault.0.at_s=11", "fault.0.at_s", "ends at 11 s, but the load ends at 10 s"),
+        ("fault.0.for_s=8", "fault.0.for_s", "ends at 11 s, but the load ends at 10 s"),
         ("fault.0.count=0", "fault.0.count", "is 0, but must be from 1"),
         ("fault.0.count=19", "fault.0.count", "there are 18 nodes"),
-        ("fault.0.count=3", "fault.0.count", "ends at 10.2 s, after the load's 10 s"),
+        ("fault.0.count=3", "fault.0.count", "ends at 10.2 s, but the load ends at 10 s"),
         ("fault.0={ kind = 'release', at_s = 1, for_s = 2 }", "fault.0.for_s", "shorter than one restart"),
         ("fault.0={ kind = 'zone-lost', at_s = 1, place = 4 }", "fault.0.place", "there are 4 zones"),
         ("fault.0={ kind = 'region-cut', at_s = 1, for_s = 1, place = 2 }", "fault.0.place", "2 regions"),
-        ("fault.0={ kind = 'region-cut', at_s = 1 }", "fault.0.for_s", "lasts some time"),
+        (
+            "fault.0={ kind = 'region-cut', at_s = 1 }",
+            "fault.0.for_s",
+            "must be above 0 for a fault of this kind",
+        ),
         (
             "fault.0={ kind = 'control-lost', at_s = 1, for_s = 1, place = 1, count = 3 }",
             "fault.0.count",
@@ -132,7 +140,7 @@
 
 #[test]
 fn overrides_take_precedence_over_the_file() {
-    let scenario = plain_with(&[
+    let scenario = base_with(&[
         "fleet.hollow=200",
         "fault.0.at_s=4",
         "load.depths.1.hops=9",
@@ -155,9 +163,9 @@
         ("fleet.hollow", "fleet.hollow", "has no value"),
         ("fleet..hollow=1", "fleet..hollow", "empty name"),
         ("=1", "", "empty name"),
-        ("name.first=1", "name", "holds no keys"),
+        ("name.first=1", "name", "is not a table or an array"),
         ("fault.1.at_s=1", "fault.1", "out of range: there are 1 entries"),
-        ("fault.first.at_s=1", "fault.first", "named by its number"),
+        ("fault.first.at_s=1", "fault.first", "must be given by its index, from 0"),
     ];
     for (change, key, reason) in cases {
         let error = error_text(change);
@@ -168,7 +176,7 @@
 
 #[test]
 fn an_override_value_cannot_set_a_second_key() {
-    let scenario = plain_with(&["name=\"a\"\nduration_s = 5"]).expect("a scenario");
+    let scenario = base_with(&["name=\"a\"\nduration_s = 5"]).expect("a scenario");
     assert_eq!(scenario.duration_s, 10.0);
     assert_eq!(scenario.name, "\"a\"\nduration_s = 5");
 }
@@ -176,7 +184,7 @@
 #[test]
 fn needs_above_the_limits_of_the_machine_are_reported() {
     let scenario =
-        plain_with(&["fleet.real=10", "fleet.memory_mb=100", "fleet.sockets=1000"]).expect("a scenario");
+        base_with(&["fleet.real=10", "fleet.memory_mb=100", "fleet.sockets=1000"]).expect("a scenario");
     let check = |machine: Machine| {
         check_machine(Path::new(FILE), &scenario, &machine).map_err(|error| error.to_string())
     };
@@ -191,7 +199,7 @@
 
 #[test]
 fn the_limits_of_this_machine_are_readable() {
-    let machine = Machine::detect().expect("a kernel that tells");
+    let machine = Machine::detect().expect("limits in /proc");
     assert!(machine.memory_mb > 0 && machine.descriptors > 0);
 }
 
