--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -9,12 +9,12 @@
 /// Where the test clocks start; any time will do.
 pub const START: Duration = Duration::from_secs(1000);
 
-pub fn millis(span: u64) -> Duration {
-    Duration::from_millis(span)
+pub fn millis(ms: u64) -> Duration {
+    Duration::from_millis(ms)
 }
 
-pub fn class(effect: Idempotency) -> Class {
-    Class { latency_target: millis(1000), deadline: millis(3000), late_value: 0.0, idempotency: effect }
+pub fn class(idempotency: Idempotency) -> Class {
+    Class { latency_target: millis(1000), deadline: millis(3000), late_value: 0.0, idempotency }
 }
 
 pub fn member(id: u32) -> Member {
@@ -30,29 +30,29 @@
 }
 
 /// A balancer with its clock.
-pub struct Bench {
+pub struct Harness {
     pub balancer: Balancer,
     pub now: Duration,
-    next_id: u64,
-    next_wake: Duration,
+    next_request_id: u64,
+    next_timer_at: Duration,
 }
 
-impl Bench {
+impl Harness {
     pub fn new(settings: Settings, seed: u64, members: Vec<Member>) -> Self {
         let balancer = Balancer::new(settings, seed).expect("the settings make sense");
-        let mut bench = Self::with(balancer);
-        bench.tell(Event::Started);
-        bench.tell(Event::Discovery(DiscoveryUpdate::Full(members)));
-        bench
+        let mut harness = Self::not_started(balancer);
+        harness.handle(Event::Started);
+        harness.handle(Event::Discovery(DiscoveryUpdate::Full(members)));
+        harness
     }
 
     /// One that has not been told anything yet.
-    pub fn with(balancer: Balancer) -> Self {
-        Self { balancer, now: START, next_id: 0, next_wake: START }
+    pub fn not_started(balancer: Balancer) -> Self {
+        Self { balancer, now: START, next_request_id: 0, next_timer_at: START }
     }
 
     /// What is asked for; reports for the operator ask for nothing.
-    pub fn tell(&mut self, event: Event) -> Vec<Action> {
+    pub fn handle(&mut self, event: Event) -> Vec<Action> {
         let mut actions = Vec::new();
         self.balancer.handle(self.now, event, &mut actions);
         actions.retain(|action| !matches!(action, Action::Report(_)));
@@ -60,29 +60,33 @@
     }
 
     /// Moves the clock, with the sweeps that fall due.
-    pub fn pass(&mut self, span: Duration) {
-        let end = self.now + span;
-        while self.next_wake <= end {
-            self.now = self.now.max(self.next_wake);
-            let actions = self.tell(Event::TimerFired);
-            let wake = actions.iter().find_map(|action| match action {
-                Action::SetTimer(span) => Some(*span),
+    pub fn advance(&mut self, duration: Duration) {
+        let end = self.now + duration;
+        while self.next_timer_at <= end {
+            self.now = self.now.max(self.next_timer_at);
+            let actions = self.handle(Event::TimerFired);
+            let delay = actions.iter().find_map(|action| match action {
+                Action::SetTimer(delay) => Some(*delay),
                 _ => None,
             });
-            self.next_wake = self.now + wake.expect("a sweep asks for the next");
+            self.next_timer_at = self.now + delay.expect("a sweep asks for the next");
         }
         self.now = end;
     }
 
     /// Offers a request of the first class and tells what is done about it.
-    pub fn offer(&mut self, tenant: Option<usize>) -> (RequestId, Vec<Action>) {
-        self.offer_within(tenant, millis(3000))
+    pub fn submit(&mut self, tenant: Option<usize>) -> (RequestId, Vec<Action>) {
+        self.submit_with_time_left(tenant, millis(3000))
     }
 
     /// The same for a client that waits so long.
-    pub fn offer_within(&mut self, tenant: Option<usize>, time_left: Duration) -> (RequestId, Vec<Action>) {
-        let id = RequestId(self.next_id);
-        self.next_id += 1;
+    pub fn submit_with_time_left(
+        &mut self,
+        tenant: Option<usize>,
+        time_left: Duration,
+    ) -> (RequestId, Vec<Action>) {
+        let id = RequestId(self.next_request_id);
+        self.next_request_id += 1;
         let request = Request {
             id,
             class: ClassId(0),
@@ -92,15 +96,21 @@
             expected_work: None,
             is_retry: false,
         };
-        (id, self.tell(Event::Request(request)))
+        (id, self.handle(Event::Request(request)))
     }
 
-    pub fn end(&mut self, request: RequestId, number: u32, outcome: Outcome, took: Duration) -> Vec<Action> {
-        self.tell(Event::AttemptEnded(AttemptEnded {
+    pub fn end_attempt(
+        &mut self,
+        request: RequestId,
+        attempt: u32,
+        outcome: Outcome,
+        duration: Duration,
+    ) -> Vec<Action> {
+        self.handle(Event::AttemptEnded(AttemptEnded {
             request,
-            attempt: AttemptNumber(number),
+            attempt: AttemptNumber(attempt),
             outcome,
-            duration: took,
+            duration,
             request_ended: outcome == Outcome::Good,
             load: None,
         }))
@@ -108,13 +118,13 @@
 
     /// Offers a request and lets each attempt end with what `outcome` says of its upstream, after
     /// the time it says. Returns the upstreams tried.
-    pub fn run(&mut self, outcome: impl Fn(UpstreamId) -> (Outcome, Duration)) -> Vec<UpstreamId> {
-        let (id, mut actions) = self.offer(None);
+    pub fn run_request(&mut self, outcome_of: impl Fn(UpstreamId) -> (Outcome, Duration)) -> Vec<UpstreamId> {
+        let (id, mut actions) = self.submit(None);
         let mut tried = Vec::new();
-        while let Some(upstream) = sent(&actions) {
-            let (how, took) = outcome(upstream);
-            self.pass(took);
-            actions = self.end(id, tried.len() as u32, how, took);
+        while let Some(upstream) = sent_to(&actions) {
+            let (outcome, duration) = outcome_of(upstream);
+            self.advance(duration);
+            actions = self.end_attempt(id, tried.len() as u32, outcome, duration);
             tried.push(upstream);
         }
         tried
@@ -122,13 +132,13 @@
 }
 
 /// The upstream that the first send among the actions names.
-pub fn sent(actions: &[Action]) -> Option<UpstreamId> {
+pub fn sent_to(actions: &[Action]) -> Option<UpstreamId> {
     actions.iter().find_map(|action| match action {
         Action::Send { upstream, .. } => Some(*upstream),
         _ => None,
     })
 }
 
-pub fn refused(actions: &[Action]) -> bool {
+pub fn is_refused(actions: &[Action]) -> bool {
     actions.iter().any(|action| matches!(action, Action::Refuse { .. }))
 }
--- a/tests/pick.rs
+++ b/tests/pick.rs
@@ -15,15 +15,16 @@
 }
 
 /// The upstreams that a copy uses, over many calls.
-fn used(index: u32, copies: u32, upstreams: u32) -> Vec<u32> {
-    let settings = Settings { replica_index: index, replica_count: copies, ..settings() };
-    let mut bench = Bench::new(settings, u64::from(index), (0..upstreams).map(member).collect());
-    let mut used = BTreeMap::new();
+fn upstreams_used(replica_index: u32, replica_count: u32, upstream_count: u32) -> Vec<u32> {
+    let settings = Settings { replica_index, replica_count, ..settings() };
+    let mut harness =
+        Harness::new(settings, u64::from(replica_index), (0..upstream_count).map(member).collect());
+    let mut upstreams_used = BTreeMap::new();
     for _ in 0..400 {
-        let tried = bench.run(|_| (Outcome::Good, millis(10)));
-        used.insert(tried[0].0, ());
+        let tried = harness.run_request(|_| (Outcome::Good, millis(10)));
+        upstreams_used.insert(tried[0].0, ());
     }
-    used.into_keys().collect()
+    upstreams_used.into_keys().collect()
 }
 
 proptest! {
@@ -31,199 +32,213 @@
 
     /// No upstream is left bare and none is used by far more copies than another.
     #[test]
-    fn subsets_cover_the_tier_evenly(copies in 1u32..40, upstreams in 1u32..60) {
-        let mut covered = vec![0u32; upstreams as usize];
-        for index in 0..copies {
-            for upstream in used(index, copies, upstreams) {
-                covered[upstream as usize] += 1;
+    fn subsets_cover_the_tier_evenly(replica_count in 1u32..40, upstream_count in 1u32..60) {
+        let mut replicas_per_upstream = vec![0u32; upstream_count as usize];
+        for replica_index in 0..replica_count {
+            for upstream in upstreams_used(replica_index, replica_count, upstream_count) {
+                replicas_per_upstream[upstream as usize] += 1;
             }
         }
-        let (least, most) = (covered.iter().min().unwrap(), covered.iter().max().unwrap());
-        prop_assert!(*least >= 1, "a bare upstream: {covered:?}");
-        prop_assert!(most - least <= 2, "uneven: {covered:?}");
+        let (min, max) = (replicas_per_upstream.iter().min().unwrap(), replicas_per_upstream.iter().max().unwrap());
+        prop_assert!(*min >= 1, "a bare upstream: {replicas_per_upstream:?}");
+        prop_assert!(max - min <= 2, "uneven: {replicas_per_upstream:?}");
     }
 }
 
 #[test]
-fn an_index_past_the_count_still_gets_a_subset() {
-    assert!(!used(17, 5, 30).is_empty());
+fn a_replica_index_above_the_replica_count_still_gets_a_subset() {
+    assert!(!upstreams_used(17, 5, 30).is_empty());
 }
 
 #[test]
-fn without_upstreams_a_call_is_refused_at_once() {
-    let mut bench = Bench::new(settings(), 1, Vec::new());
-    assert!(refused(&bench.offer(None).1));
+fn requests_are_refused_immediately_without_upstreams() {
+    let mut harness = Harness::new(settings(), 1, Vec::new());
+    assert!(is_refused(&harness.submit(None).1));
 }
 
 /// Many copies that see few calls each piled on servers by chance until these choked.
 #[test]
-fn calls_spread_over_idle_members_before_any_gets_a_second() {
-    let mut stacked = 0;
+fn requests_go_to_idle_upstreams_first() {
+    let mut upstreams_with_two_or_more = 0;
     for seed in 0..100 {
-        let mut bench = Bench::new(settings(), seed, (0..10).map(member).collect());
-        let mut held = BTreeMap::new();
+        let mut harness = Harness::new(settings(), seed, (0..10).map(member).collect());
+        let mut attempts_by_upstream = BTreeMap::new();
         for _ in 0..6 {
-            let upstream = sent(&bench.offer(None).1).unwrap();
-            *held.entry(upstream).or_insert(0) += 1;
+            let upstream = sent_to(&harness.submit(None).1).unwrap();
+            *attempts_by_upstream.entry(upstream).or_insert(0) += 1;
         }
-        stacked += held.values().filter(|&&calls| calls > 1).count();
+        upstreams_with_two_or_more += attempts_by_upstream.values().filter(|&&requests| requests > 1).count();
     }
     // Two draws alone stack about half a call in each run.
-    assert!(stacked < 15, "{stacked} members got a second call while others idled");
+    assert!(
+        upstreams_with_two_or_more < 15,
+        "{upstreams_with_two_or_more} members got a second call while others idled"
+    );
 }
 
 /// Counts the first attempts of `calls` requests that went to upstream 0.
-fn share_of_first(bench: &mut Bench, calls: u32, bad: (Outcome, u64), good_ms: u64) -> f64 {
-    let mut first = 0;
-    for _ in 0..calls {
-        let tried = bench.run(|upstream| match upstream {
-            UpstreamId(0) => (bad.0, millis(bad.1)),
-            _ => (Outcome::Good, millis(good_ms)),
+fn first_attempt_share(
+    harness: &mut Harness,
+    requests: u32,
+    upstream_0: (Outcome, u64),
+    other_latency_ms: u64,
+) -> f64 {
+    let mut sent_to_0 = 0;
+    for _ in 0..requests {
+        let tried = harness.run_request(|upstream| match upstream {
+            UpstreamId(0) => (upstream_0.0, millis(upstream_0.1)),
+            _ => (Outcome::Good, millis(other_latency_ms)),
         });
-        first += u32::from(tried.first() == Some(&UpstreamId(0)));
+        sent_to_0 += u32::from(tried.first() == Some(&UpstreamId(0)));
     }
-    f64::from(first) / f64::from(calls)
+    f64::from(sent_to_0) / f64::from(requests)
 }
 
 /// A server that fails fast looks idle; it must not draw the calls.
 #[test]
-fn a_failing_upstream_is_ejected_and_comes_back() {
-    let mut bench = Bench::new(settings(), 3, (0..5).map(member).collect());
-    share_of_first(&mut bench, 200, (Outcome::Good, 20), 20);
-    let failing = share_of_first(&mut bench, 1000, (Outcome::Error, 2), 20);
-    assert!(failing < 0.04, "{failing} of the calls still went to it");
-    share_of_first(&mut bench, 1500, (Outcome::Good, 20), 20);
-    let back = share_of_first(&mut bench, 500, (Outcome::Good, 20), 20);
-    assert!(back > 0.1, "{back} of the calls go to it after it has recovered");
+fn a_failing_upstream_is_ejected_and_returns_after_recovery() {
+    let mut harness = Harness::new(settings(), 3, (0..5).map(member).collect());
+    first_attempt_share(&mut harness, 200, (Outcome::Good, 20), 20);
+    let failing_share = first_attempt_share(&mut harness, 1000, (Outcome::Error, 2), 20);
+    assert!(failing_share < 0.04, "{failing_share} of the calls still went to it");
+    first_attempt_share(&mut harness, 1500, (Outcome::Good, 20), 20);
+    let recovered_share = first_attempt_share(&mut harness, 500, (Outcome::Good, 20), 20);
+    assert!(recovered_share > 0.1, "{recovered_share} of the calls go to it after it has recovered");
 }
 
 /// With calls one at a time none is in flight, so only the times taken tell a slow server.
 #[test]
-fn a_slow_upstream_gets_a_smaller_part() {
-    let mut bench = Bench::new(settings(), 3, (0..5).map(member).collect());
-    share_of_first(&mut bench, 100, (Outcome::Good, 20), 20);
-    let slow = share_of_first(&mut bench, 600, (Outcome::Good, 100), 20);
-    assert!(slow < 0.07, "{slow} of the calls went to it");
+fn a_slow_upstream_gets_fewer_requests() {
+    let mut harness = Harness::new(settings(), 3, (0..5).map(member).collect());
+    first_attempt_share(&mut harness, 100, (Outcome::Good, 20), 20);
+    let slow_share = first_attempt_share(&mut harness, 600, (Outcome::Good, 100), 20);
+    assert!(slow_share < 0.07, "{slow_share} of the calls went to it");
 }
 
 /// A hung server takes calls and answers none.
 #[test]
-fn a_silent_upstream_gets_no_more_while_it_owes_answers() {
-    let mut bench = Bench::new(settings(), 3, (0..5).map(member).collect());
-    share_of_first(&mut bench, 100, (Outcome::Good, 20), 20);
-    let mut swallowed = 0;
+fn an_unresponsive_upstream_gets_no_further_requests() {
+    let mut harness = Harness::new(settings(), 3, (0..5).map(member).collect());
+    first_attempt_share(&mut harness, 100, (Outcome::Good, 20), 20);
+    let mut unanswered = 0;
     for _ in 0..200 {
-        let (id, actions) = bench.offer(None);
-        bench.pass(millis(20));
-        match sent(&actions) {
-            Some(UpstreamId(0)) => swallowed += 1,
-            _ => drop(bench.end(id, 0, Outcome::Good, millis(20))),
+        let (id, actions) = harness.submit(None);
+        harness.advance(millis(20));
+        match sent_to(&actions) {
+            Some(UpstreamId(0)) => unanswered += 1,
+            _ => drop(harness.end_attempt(id, 0, Outcome::Good, millis(20))),
         }
     }
-    assert!(swallowed <= 2, "it swallowed {swallowed} calls");
+    assert!(unanswered <= 2, "it swallowed {unanswered} calls");
 }
 
-fn two_zones(tier: usize, price: f64) -> Bench {
+fn two_zones(tier: usize, cross_zone_cost: f64) -> Harness {
     let mut settings = Settings { zone_count: 2, tier, ..settings() };
-    settings.costs.cross_zone = price;
+    settings.costs.cross_zone = cross_zone_cost;
     let members = (0..8).map(|id| Member { zone: Some(ZoneId(id as usize % 2)), ..member(id) });
-    Bench::new(settings, 9, members.collect())
+    Harness::new(settings, 9, members.collect())
 }
 
 /// The part of the calls that stays in the own zone (even ids) when it takes `home_ms` there.
-fn stay(bench: &mut Bench, calls: u32, home_ms: u64) -> f64 {
-    let mut home = 0;
-    for _ in 0..calls {
-        let tried = bench.run(|upstream| match upstream.0 % 2 {
-            0 => (Outcome::Good, millis(home_ms)),
+fn local_share(harness: &mut Harness, requests: u32, local_latency_ms: u64) -> f64 {
+    let mut local_requests = 0;
+    for _ in 0..requests {
+        let tried = harness.run_request(|upstream| match upstream.0 % 2 {
+            0 => (Outcome::Good, millis(local_latency_ms)),
             _ => (Outcome::Good, millis(50)),
         });
-        home += u32::from(tried[0].0.is_multiple_of(2));
+        local_requests += u32::from(tried[0].0.is_multiple_of(2));
     }
-    f64::from(home) / f64::from(calls)
+    f64::from(local_requests) / f64::from(requests)
 }
 
 /// All calls stayed at home at the start of a day, and the congested zone choked within 2 s.
 #[test]
-fn the_first_tier_starts_evenly_spread_and_then_keeps_calls_at_home() {
-    let mut bench = two_zones(0, 0.1);
-    let start = stay(&mut bench, 40, 50);
-    assert!((0.2..0.8).contains(&start), "{start} stayed at first");
-    stay(&mut bench, 1500, 50);
-    assert!(stay(&mut bench, 200, 50) > 0.9);
+fn the_first_tier_starts_evenly_spread_and_then_prefers_the_local_zone() {
+    let mut harness = two_zones(0, 0.1);
+    let initial_share = local_share(&mut harness, 40, 50);
+    assert!((0.2..0.8).contains(&initial_share), "{initial_share} stayed at first");
+    local_share(&mut harness, 1500, 50);
+    assert!(local_share(&mut harness, 200, 50) > 0.9);
 }
 
 /// Below the first tier the noise of few calls sent half of them across zones.
 #[test]
-fn lower_tiers_start_at_home_and_leave_it_only_when_it_is_slower() {
-    let mut bench = two_zones(1, 0.1);
-    assert_eq!(stay(&mut bench, 200, 60), 1.0);
-    stay(&mut bench, 100, 700);
-    assert!(stay(&mut bench, 100, 700) < 0.9);
+fn lower_tiers_start_local_and_leave_the_zone_only_when_it_is_slower() {
+    let mut harness = two_zones(1, 0.1);
+    assert_eq!(local_share(&mut harness, 200, 60), 1.0);
+    local_share(&mut harness, 100, 700);
+    assert!(local_share(&mut harness, 100, 700) < 0.9);
 }
 
 /// Cold upstreams: what they get stays within what they surely can do.
 #[test]
-fn a_cold_upstream_gets_its_part_of_what_warm_ones_get() {
+fn an_upstream_in_slow_start_gets_a_fraction_of_a_warm_ones_load() {
     let mut settings = settings();
     settings.rules.slow_start_min_fraction = 0.1;
     settings.rules.slow_start_duration = millis(20_000);
     let mut members: Vec<Member> = (0..5).map(member).collect();
     members[0].started_at = Some(START);
-    let mut bench = Bench::new(settings, 3, members);
+    let mut harness = Harness::new(settings, 3, members);
     let mut per_second = Vec::new();
     for _ in 0..22 {
-        let second = bench.now;
-        let (mut cold, mut all) = (0, 0);
-        while bench.now < second + millis(1000) {
-            let tried = bench.run(|_| (Outcome::Good, millis(10)));
-            cold += u32::from(tried[0].0 == 0);
-            all += 1;
+        let second_start = harness.now;
+        let (mut slow_start_sends, mut total_sends) = (0, 0);
+        while harness.now < second_start + millis(1000) {
+            let tried = harness.run_request(|_| (Outcome::Good, millis(10)));
+            slow_start_sends += u32::from(tried[0].0 == 0);
+            total_sends += 1;
         }
-        per_second.push((cold, all));
+        per_second.push((slow_start_sends, total_sends));
     }
-    for (age, &(cold, all)) in per_second.iter().take(20).enumerate() {
-        let warmth = 0.1 + 0.9 * (age as f64 + 1.0) / 20.0;
-        let warm_peer = f64::from(all - cold) / 4.0;
-        let most = warmth * warm_peer * 1.5 + 2.0;
-        assert!(f64::from(cold) <= most, "second {age}: {cold} sent, {most} at most");
+    for (age_s, &(slow_start_sends, total_sends)) in per_second.iter().take(20).enumerate() {
+        let capacity_fraction = 0.1 + 0.9 * (age_s as f64 + 1.0) / 20.0;
+        let sends_per_warm_upstream = f64::from(total_sends - slow_start_sends) / 4.0;
+        let max_sends = capacity_fraction * sends_per_warm_upstream * 1.5 + 2.0;
+        assert!(
+            f64::from(slow_start_sends) <= max_sends,
+            "second {age_s}: {slow_start_sends} sent, {max_sends} at most"
+        );
     }
-    let (cold, all) = per_second[21];
-    assert!(f64::from(cold) > 0.1 * f64::from(all), "warm, yet {cold} of {all}");
+    let (slow_start_sends, total_sends) = per_second[21];
+    assert!(
+        f64::from(slow_start_sends) > 0.1 * f64::from(total_sends),
+        "warm, yet {slow_start_sends} of {total_sends}"
+    );
 }
 
 /// A storm of denied calls paid for further attempts, which kept a choked tier choked.
 #[test]
-fn denied_calls_earn_no_further_attempts() {
+fn denied_requests_add_nothing_to_the_retry_budget() {
     let mut settings = settings();
     settings.tenants = vec![Tenant { quota: Some(2.0) }];
     settings.over_quota_value = 0.0;
-    let mut bench = Bench::new(settings, 3, (0..8).map(member).collect());
-    let (mut first, mut further) = (0, 0);
+    let mut harness = Harness::new(settings, 3, (0..8).map(member).collect());
+    let (mut first_attempts, mut retries) = (0, 0);
     for _ in 0..2000 {
-        bench.pass(millis(5));
-        let (id, mut actions) = bench.offer(Some(0));
-        let mut number = 0;
-        while sent(&actions).is_some() {
-            if number == 0 {
-                first += 1
+        harness.advance(millis(5));
+        let (id, mut actions) = harness.submit(Some(0));
+        let mut attempt = 0;
+        while sent_to(&actions).is_some() {
+            if attempt == 0 {
+                first_attempts += 1
             } else {
-                further += 1
+                retries += 1
             }
-            actions = bench.end(id, number, Outcome::Error, millis(5));
-            number += 1;
+            actions = harness.end_attempt(id, attempt, Outcome::Error, millis(5));
+            attempt += 1;
         }
     }
-    assert!(further <= 6 + first / 10, "{further} further attempts for {first} admitted");
+    assert!(retries <= 6 + first_attempts / 10, "{retries} further attempts for {first_attempts} admitted");
 }
 
 /// Giving a slow attempt up early and sending it once more added work just as servers reached their
 /// limit; at one deployment that alone cost 0.07.
 #[test]
-fn an_attempt_is_not_given_up_before_its_aim() {
-    let mut bench = Bench::new(settings(), 3, (0..8).map(member).collect());
-    share_of_first(&mut bench, 100, (Outcome::Good, 20), 20);
-    let (_, actions) = bench.offer(None);
+fn an_attempt_does_not_time_out_before_the_latency_target() {
+    let mut harness = Harness::new(settings(), 3, (0..8).map(member).collect());
+    first_attempt_share(&mut harness, 100, (Outcome::Good, 20), 20);
+    let (_, actions) = harness.submit(None);
     let timeout = actions.iter().find_map(|action| match action {
         Action::Send { timeout, .. } => *timeout,
         _ => None,
@@ -233,94 +248,106 @@
 
 /// Behind a broken link many upstreams are out of reach at once; that must not look like congestion.
 #[test]
-fn upstreams_out_of_reach_are_ejected_however_many_they_are() {
-    let mut bench = Bench::new(settings(), 3, (0..9).map(member).collect());
-    let mut lost = 0;
-    for call in 0..600 {
-        let tried = bench.run(|upstream| match upstream.0 {
+fn all_unreachable_upstreams_are_ejected_even_if_they_are_many() {
+    let mut harness = Harness::new(settings(), 3, (0..9).map(member).collect());
+    let mut sent_to_unreachable = 0;
+    for request in 0..600 {
+        let tried = harness.run_request(|upstream| match upstream.0 {
             0..5 => (Outcome::ConnectFailed, millis(20)),
             _ => (Outcome::Good, millis(20)),
         });
-        lost += u32::from(call >= 100 && tried[0].0 < 5);
+        sent_to_unreachable += u32::from(request >= 100 && tried[0].0 < 5);
     }
-    assert!(lost < 75, "{lost} of 500 calls went to upstreams out of reach first");
+    assert!(
+        sent_to_unreachable < 75,
+        "{sent_to_unreachable} of 500 calls went to upstreams out of reach first"
+    );
 }
 
 /// Guards attempts that wait for a connection to an upstream told draining or gone, by name or by its absence, or found
 /// out of reach: they are ended then, and not when the connection is up or its time over.
 #[test]
-fn connects_to_upstreams_not_to_be_sent_to_are_aborted() {
-    let aborts =
+fn pending_connects_to_unusable_upstreams_are_aborted() {
+    let aborts_connects_to =
         |actions: &[Action], id| actions.contains(&Action::AbortPendingConnects { upstream: UpstreamId(id) });
-    let with = |phase| Member { phase, ..member(0) };
+    let member_in_phase = |phase| Member { phase, ..member(0) };
     for list in [
-        DiscoveryUpdate::Incremental(vec![with(Phase::Draining)]),
-        DiscoveryUpdate::Incremental(vec![with(Phase::Gone)]),
+        DiscoveryUpdate::Incremental(vec![member_in_phase(Phase::Draining)]),
+        DiscoveryUpdate::Incremental(vec![member_in_phase(Phase::Gone)]),
         DiscoveryUpdate::Full(vec![member(1)]),
     ] {
-        let mut bench = Bench::new(settings(), 3, vec![member(0)]);
-        let (id, actions) = bench.offer(None);
-        assert_eq!(sent(&actions), Some(UpstreamId(0)));
-        assert!(!aborts(&bench.tell(Event::Discovery(DiscoveryUpdate::Incremental(vec![member(1)]))), 0));
-        assert!(aborts(&bench.tell(Event::Discovery(list)), 0));
+        let mut harness = Harness::new(settings(), 3, vec![member(0)]);
+        let (id, actions) = harness.submit(None);
+        assert_eq!(sent_to(&actions), Some(UpstreamId(0)));
+        assert!(!aborts_connects_to(
+            &harness.handle(Event::Discovery(DiscoveryUpdate::Incremental(vec![member(1)]))),
+            0
+        ));
+        assert!(aborts_connects_to(&harness.handle(Event::Discovery(list)), 0));
         // What was aborted goes elsewhere.
-        assert_eq!(sent(&bench.end(id, 0, Outcome::ConnectFailed, millis(1))), Some(UpstreamId(1)));
-        assert!(!aborts(&bench.tell(Event::Discovery(DiscoveryUpdate::Incremental(vec![member(2)]))), 0));
+        assert_eq!(
+            sent_to(&harness.end_attempt(id, 0, Outcome::ConnectFailed, millis(1))),
+            Some(UpstreamId(1))
+        );
+        assert!(!aborts_connects_to(
+            &harness.handle(Event::Discovery(DiscoveryUpdate::Incremental(vec![member(2)]))),
+            0
+        ));
     }
-    let mut bench = Bench::new(settings(), 3, vec![member(0)]);
-    let ids: Vec<_> = (0..3).map(|_| bench.offer(None).0).collect();
-    bench.tell(Event::Discovery(DiscoveryUpdate::Incremental(vec![member(1)])));
-    assert!(!aborts(&bench.end(ids[0], 0, Outcome::ConnectFailed, millis(20)), 0));
-    assert!(aborts(&bench.end(ids[1], 0, Outcome::ConnectFailed, millis(20)), 0));
+    let mut harness = Harness::new(settings(), 3, vec![member(0)]);
+    let ids: Vec<_> = (0..3).map(|_| harness.submit(None).0).collect();
+    harness.handle(Event::Discovery(DiscoveryUpdate::Incremental(vec![member(1)])));
+    assert!(!aborts_connects_to(&harness.end_attempt(ids[0], 0, Outcome::ConnectFailed, millis(20)), 0));
+    assert!(aborts_connects_to(&harness.end_attempt(ids[1], 0, Outcome::ConnectFailed, millis(20)), 0));
 }
 
 /// Found on the quiet days of two deployments: copies that see a few calls a second spread them over all
 /// members and paid a handshake for most.
 #[test]
-fn a_sparse_copy_keeps_to_open_connections_where_handshakes_are_priced() {
-    let distinct = |price: f64| {
+fn a_replica_with_few_requests_reuses_connections_if_handshakes_have_a_cost() {
+    let count_upstreams_used = |handshake_cost: f64| {
         let mut settings = settings();
-        settings.costs.handshake = price;
+        settings.costs.handshake = handshake_cost;
         settings.capabilities.max_concurrent_streams = 1;
-        let mut bench = Bench::new(settings, 3, (0..8).map(member).collect());
-        let mut used = BTreeMap::new();
+        let mut harness = Harness::new(settings, 3, (0..8).map(member).collect());
+        let mut upstreams_used = BTreeMap::new();
         for _ in 0..60 {
-            used.insert(bench.run(|_| (Outcome::Good, millis(10)))[0], ());
-            bench.pass(millis(300));
+            upstreams_used.insert(harness.run_request(|_| (Outcome::Good, millis(10)))[0], ());
+            harness.advance(millis(300));
         }
-        used.len()
+        upstreams_used.len()
     };
-    assert_eq!(distinct(0.0), 8);
-    assert!(distinct(0.08) <= 5);
+    assert_eq!(count_upstreams_used(0.0), 8);
+    assert!(count_upstreams_used(0.08) <= 5);
 }
 
 /// Found on the fleet's days: upstreams that drained before their copies were told rejected calls at once, so had
 /// none in flight and drew two fifths of all sends; the copies took it for congestion.
 #[test]
-fn upstreams_that_reject_calls_do_not_draw_more_of_them() {
+fn upstreams_that_reject_requests_do_not_attract_more() {
     let (mut sends, mut rejected) = (0, 0);
-    for index in 0..20 {
-        let settings = Settings { replica_index: index, replica_count: 20, ..settings() };
-        let mut bench = Bench::new(settings, index.into(), (0..32).map(member).collect());
-        let mut open = VecDeque::new();
+    for replica_index in 0..20 {
+        let settings = Settings { replica_index, replica_count: 20, ..settings() };
+        let mut harness = Harness::new(settings, replica_index.into(), (0..32).map(member).collect());
+        let mut in_flight = VecDeque::new();
         for _ in 0..400 {
-            bench.pass(millis(10));
-            let (id, mut actions) = bench.offer(None);
-            let mut number = 0;
+            harness.advance(millis(10));
+            let (id, mut actions) = harness.submit(None);
+            let mut attempt = 0;
             // A quarter of the tier drains.
-            while let Some(UpstreamId(upstream)) = sent(&actions) {
+            while let Some(UpstreamId(upstream)) = sent_to(&actions) {
                 sends += 1;
                 if upstream % 4 != 0 {
-                    open.push_back((id, number));
+                    in_flight.push_back((id, attempt));
                     break;
                 }
                 rejected += 1;
-                actions = bench.end(id, number, Outcome::Refused, millis(1));
-                number += 1;
+                actions = harness.end_attempt(id, attempt, Outcome::Refused, millis(1));
+                attempt += 1;
             }
-            if open.len() > 8 {
-                let (id, number) = open.pop_front().expect("more than eight");
-                bench.end(id, number, Outcome::Good, millis(80));
+            if in_flight.len() > 8 {
+                let (id, attempt) = in_flight.pop_front().expect("more than eight");
+                harness.end_attempt(id, attempt, Outcome::Good, millis(80));
             }
         }
     }
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -13,52 +13,52 @@
 
 #[derive(Debug, Clone)]
 enum Step {
-    Pass(u64),
-    Ask {
+    Advance(u64),
+    Submit {
         class: usize,
-        time_left: u64,
+        time_left_ms: u64,
     },
     /// Ends one of the attempts that are out.
-    End {
-        which: usize,
+    EndAttempt {
+        index: usize,
         outcome: Outcome,
     },
-    Leave {
-        which: usize,
+    Abandon {
+        index: usize,
     },
     /// Changes one upstream: its phase, or a restart.
-    Change {
+    UpdateMember {
         upstream: u32,
         phase: Phase,
         restarted: bool,
     },
-    Replace {
-        keep: u32,
+    ReplaceList {
+        member_count: u32,
         stale: bool,
     },
-    Broken,
-    Reconfigure(Reconfigure),
+    DiscoveryFailed,
+    ChangeSettings(ChangeSettings),
 }
 
 /// New settings, drawn as what becomes of the old ones.
 #[derive(Debug, Clone)]
-struct Reconfigure {
+struct ChangeSettings {
     class: usize,
-    effect: Idempotency,
-    late_worth: f64,
-    attempts: u32,
-    copies: u32,
-    index: u32,
+    idempotency: Idempotency,
+    late_value: f64,
+    max_attempts: u32,
+    replica_count: u32,
+    replica_index: u32,
     zone: usize,
     quota: Option<u32>,
-    second_copies: bool,
-    cancel: bool,
-    ask_within: u64,
+    hedging: bool,
+    cancellation: bool,
+    max_poll_interval_ms: u64,
     /// A class and a tenant are added.
-    more: bool,
+    append_entries: bool,
 }
 
-fn effect() -> impl Strategy<Value = Idempotency> {
+fn idempotency() -> impl Strategy<Value = Idempotency> {
     let scope = prop_oneof![Just(DedupScope::All), Just(DedupScope::Zone), Just(DedupScope::Cell)];
     prop_oneof![
         1 => Just(Idempotency::Idempotent),
@@ -67,28 +67,28 @@
     ]
 }
 
-fn reconfigure() -> impl Strategy<Value = Reconfigure> {
-    let caps = (1u32..5, any::<bool>(), any::<bool>(), 1_000u64..20_000);
-    let place = (1u32..9, 0u32..9, 0usize..2);
-    let figures = (prop_oneof![Just(0.0), Just(0.5)], prop_oneof![Just(None), (0u32..500).prop_map(Some)]);
-    (0usize..5, effect(), caps, place, figures, any::<bool>()).prop_map(
-        |(class, effect, caps, place, figures, more)| {
-            let (attempts, second_copies, cancel, ask_within) = caps;
-            let (copies, index, zone) = place;
-            let (late_worth, quota) = figures;
-            Reconfigure {
+fn change_settings() -> impl Strategy<Value = ChangeSettings> {
+    let capabilities = (1u32..5, any::<bool>(), any::<bool>(), 1_000u64..20_000);
+    let replica = (1u32..9, 0u32..9, 0usize..2);
+    let values = (prop_oneof![Just(0.0), Just(0.5)], prop_oneof![Just(None), (0u32..500).prop_map(Some)]);
+    (0usize..5, idempotency(), capabilities, replica, values, any::<bool>()).prop_map(
+        |(class, idempotency, capabilities, replica, values, append_entries)| {
+            let (max_attempts, hedging, cancellation, max_poll_interval_ms) = capabilities;
+            let (replica_count, replica_index, zone) = replica;
+            let (late_value, quota) = values;
+            ChangeSettings {
                 class,
-                effect,
-                late_worth,
-                attempts,
-                copies,
-                index,
+                idempotency,
+                late_value,
+                max_attempts,
+                replica_count,
+                replica_index,
                 zone,
                 quota,
-                second_copies,
-                cancel,
-                ask_within,
-                more,
+                hedging,
+                cancellation,
+                max_poll_interval_ms,
+                append_entries,
             }
         },
     )
@@ -108,30 +108,30 @@
 fn step() -> impl Strategy<Value = Step> {
     let phase = prop_oneof![3 => Just(Phase::Ready), 1 => Just(Phase::Draining), 1 => Just(Phase::Gone)];
     prop_oneof![
-        4 => (1u64..400).prop_map(Step::Pass),
-        8 => (0usize..5, 1u64..3000).prop_map(|(class, time_left)| Step::Ask { class, time_left }),
-        8 => (any::<usize>(), outcome()).prop_map(|(which, outcome)| Step::End { which, outcome }),
-        1 => any::<usize>().prop_map(|which| Step::Leave { which }),
+        4 => (1u64..400).prop_map(Step::Advance),
+        8 => (0usize..5, 1u64..3000).prop_map(|(class, time_left_ms)| Step::Submit { class, time_left_ms }),
+        8 => (any::<usize>(), outcome()).prop_map(|(index, outcome)| Step::EndAttempt { index, outcome }),
+        1 => any::<usize>().prop_map(|index| Step::Abandon { index }),
         2 => (0u32..8, phase, any::<bool>())
-            .prop_map(|(upstream, phase, restarted)| Step::Change { upstream, phase, restarted }),
-        1 => (0u32..9, any::<bool>()).prop_map(|(keep, stale)| Step::Replace { keep, stale }),
-        1 => Just(Step::Broken),
-        1 => reconfigure().prop_map(Step::Reconfigure),
+            .prop_map(|(upstream, phase, restarted)| Step::UpdateMember { upstream, phase, restarted }),
+        1 => (0u32..9, any::<bool>()).prop_map(|(member_count, stale)| Step::ReplaceList { member_count, stale }),
+        1 => Just(Step::DiscoveryFailed),
+        1 => change_settings().prop_map(Step::ChangeSettings),
     ]
 }
 
-fn settings(second_copies: bool, subscribe: bool) -> Settings {
-    let class = |effect, late_worth| Class { late_value: late_worth, ..common::class(effect) };
-    let keyed = |scope| Idempotency::Deduplicated { scope, window: millis(800) };
+fn settings(hedging: bool, subscribe: bool) -> Settings {
+    let class = |idempotency, late_value| Class { late_value, ..common::class(idempotency) };
+    let deduplicated = |scope| Idempotency::Deduplicated { scope, window: millis(800) };
     let mut settings = Settings::single_zone(vec![
         class(Idempotency::Idempotent, 0.0),
         class(Idempotency::NonIdempotent, 0.5),
-        class(keyed(DedupScope::All), 0.5),
-        class(keyed(DedupScope::Zone), 0.0),
-        class(keyed(DedupScope::Cell), 0.5),
+        class(deduplicated(DedupScope::All), 0.5),
+        class(deduplicated(DedupScope::Zone), 0.0),
+        class(deduplicated(DedupScope::Cell), 0.5),
     ]);
     settings.zone_count = 2;
-    settings.capabilities.hedging = second_copies;
+    settings.capabilities.hedging = hedging;
     settings.capabilities.max_attempts = 4;
     if subscribe {
         settings.discovery = DiscoveryMode::Subscribe;
@@ -144,55 +144,55 @@
     Member { zone: Some(ZoneId(id as usize % 2)), cell: id / 3, ..common::member(id) }
 }
 
-struct Sent {
+struct Attempt {
     upstream: UpstreamId,
-    at: Duration,
-    until: Duration,
-    ended: Option<Outcome>,
+    sent_at: Duration,
+    timeout_at: Duration,
+    outcome: Option<Outcome>,
 }
 
-struct Held {
+struct RequestState {
     class: usize,
     /// All that have been in force for it since it came.
-    effects: Vec<Idempotency>,
+    idempotencies: Vec<Idempotency>,
     deadline: Duration,
-    attempts: Vec<Sent>,
-    finals: u32,
+    attempts: Vec<Attempt>,
+    final_answers: u32,
     /// Its end was reported by an outcome or by the client's leaving.
-    over: bool,
+    ended: bool,
 }
 
 /// The world around the balancer, and the oracle that checks what it does.
-struct World {
+struct Simulation {
     balancer: Balancer,
     settings: Settings,
     now: Duration,
-    held: BTreeMap<RequestId, Held>,
+    requests: BTreeMap<RequestId, RequestState>,
     list: BTreeMap<UpstreamId, Member>,
-    wake: Option<Duration>,
+    timer_at: Option<Duration>,
     /// Since when the copy neither has a subscription nor has asked.
-    unasked: Option<Duration>,
-    next: u64,
+    unsubscribed_since: Option<Duration>,
+    next_id: u64,
 }
 
-impl World {
+impl Simulation {
     fn new(settings: Settings, seed: u64) -> Self {
-        let mut world = Self {
+        let mut simulation = Self {
             balancer: Balancer::new(settings.clone(), seed).expect("the settings make sense"),
             settings,
             now: START,
-            held: BTreeMap::new(),
+            requests: BTreeMap::new(),
             list: BTreeMap::new(),
-            wake: None,
-            unasked: Some(START),
-            next: 0,
+            timer_at: None,
+            unsubscribed_since: Some(START),
+            next_id: 0,
         };
-        world.tell(Event::Started);
-        world.replace((0..8).map(member).collect(), false);
-        world
+        simulation.handle(Event::Started);
+        simulation.replace_list((0..8).map(member).collect(), false);
+        simulation
     }
 
-    fn tell(&mut self, event: Event) {
+    fn handle(&mut self, event: Event) {
         let mut actions = Vec::new();
         self.balancer.handle(self.now, event, &mut actions);
         for action in actions {
@@ -203,70 +203,78 @@
     fn check(&mut self, action: Action) {
         match action {
             Action::Send { request, upstream, timeout, start_within } => {
-                let held = self.held.get_mut(&request).expect("a request that it has");
-                assert!(held.finals == 0 && !held.over, "sent after its end");
-                assert!(self.now < held.deadline, "sent after the deadline");
+                let state = self.requests.get_mut(&request).expect("a request that it has");
+                assert!(state.final_answers == 0 && !state.ended, "sent after its end");
+                assert!(self.now < state.deadline, "sent after the deadline");
                 let target = self.list.get(&upstream).expect("an upstream that a list has named");
                 assert_eq!(target.phase, Phase::Ready, "sent to one that drains or is gone");
-                let out = held.attempts.iter().filter(|sent| sent.ended.is_none()).count();
-                assert!(out == 0 || self.settings.capabilities.hedging, "two attempts at once");
-                assert!(held.attempts.len() < self.settings.capabilities.max_attempts as usize);
-                let ran = |sent: &&Sent| sent.ended.is_none_or(|outcome| !outcome.never_ran());
-                if let Some(first) = held.attempts.iter().find(ran) {
-                    for effect in &held.effects {
-                        match *effect {
+                let in_flight = state.attempts.iter().filter(|attempt| attempt.outcome.is_none()).count();
+                assert!(in_flight == 0 || self.settings.capabilities.hedging, "two attempts at once");
+                assert!(state.attempts.len() < self.settings.capabilities.max_attempts as usize);
+                let may_have_run =
+                    |attempt: &&Attempt| attempt.outcome.is_none_or(|outcome| !outcome.never_ran());
+                if let Some(first) = state.attempts.iter().find(may_have_run) {
+                    for idempotency in &state.idempotencies {
+                        match *idempotency {
                             Idempotency::Idempotent => {}
                             Idempotency::NonIdempotent => panic!("an unsafe request sent twice"),
                             Idempotency::Deduplicated { scope, window } => {
-                                assert!(self.now <= first.at + window, "past the window");
+                                assert!(self.now <= first.sent_at + window, "past the window");
                                 // A rounding is allowed.
                                 assert!(
-                                    self.now + start_within <= first.at + window + Duration::from_micros(1)
+                                    self.now + start_within
+                                        <= first.sent_at + window + Duration::from_micros(1)
                                 );
-                                let (one, two) = (member(first.upstream.0), member(upstream.0));
+                                let (first_member, second_member) =
+                                    (member(first.upstream.0), member(upstream.0));
                                 match scope {
                                     DedupScope::All => {}
-                                    DedupScope::Zone => assert_eq!(one.zone, two.zone),
-                                    DedupScope::Cell => assert_eq!(one.cell, two.cell),
+                                    DedupScope::Zone => assert_eq!(first_member.zone, second_member.zone),
+                                    DedupScope::Cell => assert_eq!(first_member.cell, second_member.cell),
                                 }
                             }
                         }
                     }
                 }
-                let until = timeout.map_or(held.deadline, |span| held.deadline.min(self.now + span));
-                held.attempts.push(Sent { upstream, at: self.now, until, ended: None });
+                let timeout_at =
+                    timeout.map_or(state.deadline, |timeout| state.deadline.min(self.now + timeout));
+                state.attempts.push(Attempt { upstream, sent_at: self.now, timeout_at, outcome: None });
             }
             Action::Refuse { request, .. } => {
-                let held = self.held.get_mut(&request).expect("a request that it has");
-                held.finals += 1;
-                assert!(held.finals == 1 && !held.over, "a second final answer");
-                let ran = held.attempts.iter().any(|sent| sent.ended.is_none_or(|o| !o.never_ran()));
-                let free = held.effects.iter().all(|effect| match effect {
+                let state = self.requests.get_mut(&request).expect("a request that it has");
+                state.final_answers += 1;
+                assert!(state.final_answers == 1 && !state.ended, "a second final answer");
+                let may_have_run =
+                    state.attempts.iter().any(|attempt| attempt.outcome.is_none_or(|o| !o.never_ran()));
+                let safe_to_retry = state.idempotencies.iter().all(|idempotency| match idempotency {
                     Idempotency::Idempotent | Idempotency::Deduplicated { scope: DedupScope::All, .. } => {
                         true
                     }
                     Idempotency::Deduplicated { .. } | Idempotency::NonIdempotent => false,
                 });
-                assert!(free || !ran, "refused though it may have run");
+                assert!(safe_to_retry || !may_have_run, "refused though it may have run");
             }
             Action::Fail { request } => {
-                let held = self.held.get_mut(&request).expect("a request that it has");
-                held.finals += 1;
-                assert!(held.finals == 1 && !held.over, "a second final answer");
+                let state = self.requests.get_mut(&request).expect("a request that it has");
+                state.final_answers += 1;
+                assert!(state.final_answers == 1 && !state.ended, "a second final answer");
             }
-            Action::SetTimer(span) => self.wake = Some(self.now + span),
-            Action::SubscribeToDiscovery => self.unasked = Some(self.now),
+            Action::SetTimer(delay) => self.timer_at = Some(self.now + delay),
+            Action::SubscribeToDiscovery => self.unsubscribed_since = Some(self.now),
             Action::CancelAttempt { request, attempt } => {
-                let held = self.held.get(&request).expect("a request that it has");
-                assert!((attempt.0 as usize) < held.attempts.len(), "withdrew what was never sent");
+                let state = self.requests.get(&request).expect("a request that it has");
+                assert!((attempt.0 as usize) < state.attempts.len(), "withdrew what was never sent");
             }
             Action::Probe { upstream } => {
                 assert!(self.settings.capabilities.probes, "a health check that is not allowed");
                 assert!(self.list.contains_key(&upstream), "checked one that no list has named");
             }
             Action::AbortPendingConnects { upstream } => {
-                assert!(self.held.values().any(|held| {
-                    held.attempts.iter().any(|sent| sent.upstream == upstream && sent.ended.is_none())
+                assert!(self.requests.values().any(|state| {
+                    state
+                        .attempts
+                        .iter()
+                        .any(|attempt| attempt.upstream == upstream && attempt.outcome.is_none())
                 }));
             }
             Action::CloseIdleConnections { upstream } => assert!(self.list.contains_key(&upstream)),
@@ -275,147 +283,166 @@
     }
 
     /// Moves the clock step by step, with time-outs and sweeps as they fall due.
-    fn pass(&mut self, span: Duration) {
-        let end = self.now + span;
+    fn advance(&mut self, duration: Duration) {
+        let end = self.now + duration;
         loop {
-            let outs = self.outs();
-            let late = outs.iter().map(|&(id, n)| (self.held[&id].attempts[n].until, id, n)).min();
-            let next = late.map(|(at, ..)| at).into_iter().chain(self.wake).min();
-            let Some(next) = next.filter(|&next| next <= end) else { break };
-            self.now = self.now.max(next);
-            match late.filter(|&(at, ..)| at <= self.now) {
-                Some((_, id, n)) => self.end(id, n, Outcome::TimedOut),
+            let attempts_in_flight = self.attempts_in_flight();
+            let first_timeout = attempts_in_flight
+                .iter()
+                .map(|&(id, attempt)| (self.requests[&id].attempts[attempt].timeout_at, id, attempt))
+                .min();
+            let next_event_at =
+                first_timeout.map(|(timeout_at, ..)| timeout_at).into_iter().chain(self.timer_at).min();
+            let Some(next_event_at) = next_event_at.filter(|&at| at <= end) else { break };
+            self.now = self.now.max(next_event_at);
+            match first_timeout.filter(|&(timeout_at, ..)| timeout_at <= self.now) {
+                Some((_, id, attempt)) => self.end_attempt(id, attempt, Outcome::TimedOut),
                 None => {
-                    self.wake = None;
-                    self.tell(Event::TimerFired);
+                    self.timer_at = None;
+                    self.handle(Event::TimerFired);
                 }
             }
-            self.check_asked();
+            self.check_poll_interval();
         }
         self.now = end;
-        let slack = self.settings.rules.deadline_grace;
-        for (id, held) in &self.held {
-            assert!(held.over || held.finals == 1 || self.now <= held.deadline + slack, "{id:?} lost");
+        let grace = self.settings.rules.deadline_grace;
+        for (id, state) in &self.requests {
+            assert!(
+                state.ended || state.final_answers == 1 || self.now <= state.deadline + grace,
+                "{id:?} lost"
+            );
         }
     }
 
-    fn check_asked(&self) {
-        if let (Some(since), Some(within)) = (self.unasked, self.settings.rules.max_poll_interval) {
-            assert!(self.now <= since + within, "has not asked for the list in time");
+    fn check_poll_interval(&self) {
+        if let (Some(since), Some(max_interval)) =
+            (self.unsubscribed_since, self.settings.rules.max_poll_interval)
+        {
+            assert!(self.now <= since + max_interval, "has not asked for the list in time");
         }
     }
 
-    fn outs(&self) -> Vec<(RequestId, usize)> {
-        let each = self.held.iter().flat_map(|(&id, held)| {
-            held.attempts.iter().enumerate().map(move |(n, sent)| (id, n, sent.ended))
+    fn attempts_in_flight(&self) -> Vec<(RequestId, usize)> {
+        let all_attempts = self.requests.iter().flat_map(|(&id, state)| {
+            state.attempts.iter().enumerate().map(move |(number, attempt)| (id, number, attempt.outcome))
         });
-        each.filter(|(.., ended)| ended.is_none()).map(|(id, n, _)| (id, n)).collect()
+        all_attempts.filter(|(.., outcome)| outcome.is_none()).map(|(id, number, _)| (id, number)).collect()
     }
 
-    fn end(&mut self, request: RequestId, n: usize, outcome: Outcome) {
-        let held = self.held.get_mut(&request).expect("held");
-        held.attempts[n].ended = Some(outcome);
-        let took = self.now - held.attempts[n].at;
-        held.over |= outcome == Outcome::Good;
-        let finished = held.over || held.finals > 0;
-        let attempt = AttemptNumber(n as u32);
-        self.tell(Event::AttemptEnded(AttemptEnded {
+    fn end_attempt(&mut self, request: RequestId, attempt: usize, outcome: Outcome) {
+        let state = self.requests.get_mut(&request).expect("held");
+        state.attempts[attempt].outcome = Some(outcome);
+        let duration = self.now - state.attempts[attempt].sent_at;
+        state.ended |= outcome == Outcome::Good;
+        let request_ended = state.ended || state.final_answers > 0;
+        let attempt = AttemptNumber(attempt as u32);
+        self.handle(Event::AttemptEnded(AttemptEnded {
             request,
             attempt,
             outcome,
-            duration: took,
-            request_ended: finished,
+            duration,
+            request_ended,
             load: None,
         }));
-        let held = &self.held[&request];
-        let out = held.attempts.iter().any(|sent| sent.ended.is_none());
-        assert!(held.over || held.finals == 1 || out, "left without an attempt or an answer");
+        let state = &self.requests[&request];
+        let in_flight = state.attempts.iter().any(|attempt| attempt.outcome.is_none());
+        assert!(state.ended || state.final_answers == 1 || in_flight, "left without an attempt or an answer");
     }
 
-    fn replace(&mut self, members: Vec<Member>, stale: bool) {
+    fn replace_list(&mut self, members: Vec<Member>, stale: bool) {
         self.list = members.iter().map(|member| (member.id, *member)).collect();
         if !stale {
-            self.unasked = None;
+            self.unsubscribed_since = None;
         }
         let update = if stale { DiscoveryUpdate::Stale(members) } else { DiscoveryUpdate::Full(members) };
-        self.tell(Event::Discovery(update));
+        self.handle(Event::Discovery(update));
     }
 
-    fn reconfigure(&mut self, new: &Reconfigure) {
+    fn change_settings(&mut self, new: &ChangeSettings) {
         let settings = &mut self.settings;
-        settings.classes[new.class].idempotency = new.effect;
-        settings.classes[new.class].late_value = new.late_worth;
-        settings.capabilities.max_attempts = new.attempts;
-        settings.capabilities.hedging = new.second_copies;
-        settings.capabilities.cancellation = new.cancel;
+        settings.classes[new.class].idempotency = new.idempotency;
+        settings.classes[new.class].late_value = new.late_value;
+        settings.capabilities.max_attempts = new.max_attempts;
+        settings.capabilities.hedging = new.hedging;
+        settings.capabilities.cancellation = new.cancellation;
         (settings.replica_count, settings.replica_index, settings.zone) =
-            (new.copies, new.index, ZoneId(new.zone));
+            (new.replica_count, new.replica_index, ZoneId(new.zone));
         if settings.discovery == DiscoveryMode::Subscribe {
-            settings.rules.max_poll_interval = Some(millis(new.ask_within));
+            settings.rules.max_poll_interval = Some(millis(new.max_poll_interval_ms));
         }
-        if new.more {
-            settings.classes.push(common::class(new.effect));
+        if new.append_entries {
+            settings.classes.push(common::class(new.idempotency));
             settings.tenants.push(Tenant { quota: None });
         }
         if let Some(tenant) = settings.tenants.last_mut() {
             tenant.quota = new.quota.map(f64::from);
         }
-        for held in self.held.values_mut() {
-            held.effects.push(settings.classes[held.class].idempotency);
+        for state in self.requests.values_mut() {
+            state.idempotencies.push(settings.classes[state.class].idempotency);
         }
         let settings = settings.clone();
-        self.tell(Event::SettingsChanged(Box::new(settings)));
-        self.check_asked();
+        self.handle(Event::SettingsChanged(Box::new(settings)));
+        self.check_poll_interval();
     }
 
     fn step(&mut self, step: Step) {
         match step {
-            Step::Pass(span) => self.pass(millis(span)),
-            Step::Ask { class, time_left } => {
-                let id = RequestId(self.next);
-                self.next += 1;
-                let deadline = self.now + millis(time_left);
-                let effects = vec![self.settings.classes[class].idempotency];
-                let held = Held { class, effects, deadline, attempts: Vec::new(), finals: 0, over: false };
-                self.held.insert(id, held);
-                self.tell(Event::Request(Request {
+            Step::Advance(ms) => self.advance(millis(ms)),
+            Step::Submit { class, time_left_ms } => {
+                let id = RequestId(self.next_id);
+                self.next_id += 1;
+                let deadline = self.now + millis(time_left_ms);
+                let idempotencies = vec![self.settings.classes[class].idempotency];
+                let state = RequestState {
+                    class,
+                    idempotencies,
+                    deadline,
+                    attempts: Vec::new(),
+                    final_answers: 0,
+                    ended: false,
+                };
+                self.requests.insert(id, state);
+                self.handle(Event::Request(Request {
                     id,
                     class: ClassId(class),
                     tenant: self.settings.tenants.len().checked_sub(1).map(TenantId),
                     resource_key: None,
-                    time_left: millis(time_left),
+                    time_left: millis(time_left_ms),
                     expected_work: None,
                     is_retry: false,
                 }));
-                let held = &self.held[&id];
-                assert!(held.finals == 1 || !held.attempts.is_empty(), "neither sent nor answered");
+                let state = &self.requests[&id];
+                assert!(state.final_answers == 1 || !state.attempts.is_empty(), "neither sent nor answered");
             }
-            Step::End { which, outcome } => {
-                let outs = self.outs();
-                if let Some(&(id, n)) = outs.get(which % outs.len().max(1)) {
-                    self.end(id, n, outcome);
+            Step::EndAttempt { index, outcome } => {
+                let attempts_in_flight = self.attempts_in_flight();
+                if let Some(&(id, attempt)) = attempts_in_flight.get(index % attempts_in_flight.len().max(1))
+                {
+                    self.end_attempt(id, attempt, outcome);
                 }
             }
-            Step::Leave { which } => {
-                let ids: Vec<_> = self.held.keys().copied().collect();
-                if let Some(id) = ids.get(which % ids.len().max(1)) {
-                    self.held.get_mut(id).expect("held").over = true;
-                    self.tell(Event::RequestAbandoned(*id));
+            Step::Abandon { index } => {
+                let ids: Vec<_> = self.requests.keys().copied().collect();
+                if let Some(id) = ids.get(index % ids.len().max(1)) {
+                    self.requests.get_mut(id).expect("held").ended = true;
+                    self.handle(Event::RequestAbandoned(*id));
                 }
             }
-            Step::Change { upstream, phase, restarted } => {
-                let started = if restarted { Some(self.now) } else { None };
-                let member = Member { phase, started_at: started, ..member(upstream) };
+            Step::UpdateMember { upstream, phase, restarted } => {
+                let started_at = if restarted { Some(self.now) } else { None };
+                let member = Member { phase, started_at, ..member(upstream) };
                 self.list.insert(member.id, member);
-                self.unasked = None;
-                self.tell(Event::Discovery(DiscoveryUpdate::Incremental(vec![member])));
+                self.unsubscribed_since = None;
+                self.handle(Event::Discovery(DiscoveryUpdate::Incremental(vec![member])));
             }
-            Step::Reconfigure(new) => self.reconfigure(&new),
-            Step::Replace { keep, stale } => self.replace((0..keep).map(member).collect(), stale),
-            Step::Broken => {
+            Step::ChangeSettings(new) => self.change_settings(&new),
+            Step::ReplaceList { member_count, stale } => {
+                self.replace_list((0..member_count).map(member).collect(), stale)
+            }
+            Step::DiscoveryFailed => {
                 if self.settings.discovery == DiscoveryMode::Subscribe {
-                    self.unasked.get_or_insert(self.now);
-                    self.tell(Event::Discovery(DiscoveryUpdate::Failed));
+                    self.unsubscribed_since.get_or_insert(self.now);
+                    self.handle(Event::Discovery(DiscoveryUpdate::Failed));
                 }
             }
         }
@@ -426,65 +453,65 @@
     #![proptest_config(ProptestConfig { cases: 300, failure_persistence: None, rng_seed: RngSeed::Fixed(7), ..ProptestConfig::default() })]
 
     #[test]
-    fn the_rules_hold_over_any_legal_events(
+    fn the_rules_hold_for_any_valid_sequence_of_events(
         seed in any::<u64>(),
-        second_copies in any::<bool>(),
+        hedging in any::<bool>(),
         subscribe in any::<bool>(),
         steps in proptest::collection::vec(step(), 1..250),
     ) {
-        let mut world = World::new(settings(second_copies, subscribe), seed);
+        let mut simulation = Simulation::new(settings(hedging, subscribe), seed);
         for step in steps {
-            world.step(step);
+            simulation.step(step);
         }
-        world.pass(millis(4000));
+        simulation.advance(millis(4000));
     }
 
     /// Whatever the other upstreams do, a cold one gets no more than the budget of the rule.
     #[test]
-    fn a_cold_upstream_is_never_sent_its_budget(
+    fn an_upstream_in_slow_start_never_gets_more_than_its_limit(
         seed in any::<u64>(),
-        gap in 2u64..40,
-        cold in 1u32..7,
-        refusing in any::<bool>(),
-        changes in proptest::option::of((reconfigure(), 1_000u64..5_000)),
+        interval_ms in 2u64..40,
+        slow_start_count in 1u32..7,
+        refuse_in_slow_start in any::<bool>(),
+        settings_change in proptest::option::of((change_settings(), 1_000u64..5_000)),
     ) {
         let mut settings = settings(false, false);
         settings.rules.slow_start_min_fraction = 0.15;
         settings.rules.slow_start_duration = millis(20_000);
         settings.rules.overload_duration = millis(2_000);
         let rules = settings.rules.clone();
-        let mut world = World::new(settings, seed);
-        let started = world.now;
-        let list = (0..8).map(|id| Member { started_at: (id < cold).then_some(started), ..member(id) });
-        world.replace(list.collect(), false);
+        let mut simulation = Simulation::new(settings, seed);
+        let started_at = simulation.now;
+        let list = (0..8).map(|id| Member { started_at: (id < slow_start_count).then_some(started_at), ..member(id) });
+        simulation.replace_list(list.collect(), false);
         let mut sends: Vec<(Duration, u32)> = Vec::new();
         let mut changed = false;
-        while world.now < started + millis(6_000) {
-            world.step(Step::Ask { class: 0, time_left: 500 });
-            for (id, n) in world.outs() {
-                sends.push((world.now, world.held[&id].attempts[n].upstream.0));
-                let cold_one = world.held[&id].attempts[n].upstream.0 < cold;
-                world.end(id, n, if refusing && cold_one { Outcome::Refused } else { Outcome::Good });
+        while simulation.now < started_at + millis(6_000) {
+            simulation.step(Step::Submit { class: 0, time_left_ms: 500 });
+            for (id, attempt) in simulation.attempts_in_flight() {
+                sends.push((simulation.now, simulation.requests[&id].attempts[attempt].upstream.0));
+                let in_slow_start = simulation.requests[&id].attempts[attempt].upstream.0 < slow_start_count;
+                simulation.end_attempt(id, attempt, if refuse_in_slow_start && in_slow_start { Outcome::Refused } else { Outcome::Good });
             }
-            world.pass(millis(gap));
+            simulation.advance(millis(interval_ms));
             // One copy serves the whole tier here, before and after.
-            if let Some((new, _)) = changes.as_ref().filter(|(_, at)| !changed && world.now >= started + millis(*at)) {
+            if let Some((new, _)) = settings_change.as_ref().filter(|(_, after_ms)| !changed && simulation.now >= started_at + millis(*after_ms)) {
                 changed = true;
-                world.reconfigure(&Reconfigure { copies: 1, index: 0, quota: None, ..new.clone() });
+                simulation.change_settings(&ChangeSettings { replica_count: 1, replica_index: 0, quota: None, ..new.clone() });
             }
         }
         let window = rules.overload_duration;
-        let within = |id: u32, end: Duration| {
-            sends.iter().filter(|&&(at, to)| to == id && at <= end && at + window > end).count() as f64
+        let sends_in_window = |id: u32, end: Duration| {
+            sends.iter().filter(|&&(sent_at, upstream)| upstream == id && sent_at <= end && sent_at + window > end).count() as f64
         };
         for second in 2..6 {
-            let end = started + millis(second * 1_000);
-            let warm = (cold..8).map(|id| within(id, end)).fold(0.0, f64::max);
-            let age = (second as f64 - window.as_secs_f64()).max(0.0);
-            let warmth = rules.slow_start_min_fraction + (1.0 - rules.slow_start_min_fraction) * age / 20.0;
-            let budget = rules.overload_factor * warmth * warm + 2.0;
-            for id in 0..cold {
-                prop_assert!(within(id, end) <= budget, "{} sent, budget {budget}", within(id, end));
+            let end = started_at + millis(second * 1_000);
+            let max_warm_sends = (slow_start_count..8).map(|id| sends_in_window(id, end)).fold(0.0, f64::max);
+            let age_s = (second as f64 - window.as_secs_f64()).max(0.0);
+            let capacity_fraction = rules.slow_start_min_fraction + (1.0 - rules.slow_start_min_fraction) * age_s / 20.0;
+            let max_sends = rules.overload_factor * capacity_fraction * max_warm_sends + 2.0;
+            for id in 0..slow_start_count {
+                prop_assert!(sends_in_window(id, end) <= max_sends, "{} sent, budget {max_sends}", sends_in_window(id, end));
             }
         }
     }
@@ -493,7 +520,7 @@
 /// Equal settings, seeds and events give equal actions.
 #[test]
 fn the_same_events_give_the_same_actions() {
-    let run = || {
+    let run_events = || {
         let mut balancer = Balancer::new(settings(false, true), 11).unwrap();
         let mut actions = Vec::new();
         balancer.handle(START, Event::Started, &mut actions);
@@ -518,45 +545,48 @@
         }
         actions
     };
-    assert_eq!(run(), run());
+    assert_eq!(run_events(), run_events());
 }
 
 #[test]
-fn a_stream_that_has_started_is_neither_withdrawn_nor_sent_again() {
-    let mut world = World::new(settings(false, false), 3);
-    world.step(Step::Ask { class: 0, time_left: 300 });
+fn a_started_response_stream_is_neither_cancelled_nor_retried() {
+    let mut simulation = Simulation::new(settings(false, false), 3);
+    simulation.step(Step::Submit { class: 0, time_left_ms: 300 });
     let id = RequestId(0);
-    world.tell(Event::ResponseStarted { request: id, attempt: AttemptNumber(0) });
+    simulation.handle(Event::ResponseStarted { request: id, attempt: AttemptNumber(0) });
     let mut actions = Vec::new();
-    world.balancer.handle(world.now + millis(5000), Event::RequestAbandoned(id), &mut actions);
+    simulation.balancer.handle(simulation.now + millis(5000), Event::RequestAbandoned(id), &mut actions);
     assert_eq!(actions, []);
 }
 
 #[test]
-fn settings_that_make_no_sense_are_typed_errors() {
-    let with = |change: fn(&mut Settings)| {
+fn invalid_settings_return_typed_errors() {
+    let error_with = |change: fn(&mut Settings)| {
         let mut settings = settings(false, false);
         change(&mut settings);
         Balancer::new(settings, 1).err()
     };
-    assert_eq!(with(|_| {}), None);
-    assert_eq!(with(|settings| settings.classes.clear()), Some(SettingsError::NoClasses));
-    assert_eq!(with(|settings| settings.zone = ZoneId(2)), Some(SettingsError::UnknownZone));
-    assert_eq!(with(|settings| settings.replica_count = 0), Some(SettingsError::NoReplicas));
-    assert_eq!(with(|settings| settings.capabilities.max_attempts = 0), Some(SettingsError::NoAttempts));
+    assert_eq!(error_with(|_| {}), None);
+    assert_eq!(error_with(|settings| settings.classes.clear()), Some(SettingsError::NoClasses));
+    assert_eq!(error_with(|settings| settings.zone = ZoneId(2)), Some(SettingsError::UnknownZone));
+    assert_eq!(error_with(|settings| settings.replica_count = 0), Some(SettingsError::NoReplicas));
+    assert_eq!(
+        error_with(|settings| settings.capabilities.max_attempts = 0),
+        Some(SettingsError::NoAttempts)
+    );
     assert_eq!(
-        with(|settings| settings.classes[1].latency_target = millis(9_000)),
+        error_with(|settings| settings.classes[1].latency_target = millis(9_000)),
         Some(SettingsError::InvalidClassTimes(1))
     );
     assert_eq!(
-        with(|settings| settings.rules.slow_start_min_fraction = f64::NAN),
+        error_with(|settings| settings.rules.slow_start_min_fraction = f64::NAN),
         Some(SettingsError::OutOfRange("slow start minimum fraction"))
     );
 }
 
 /// Mistakes of the embedding program are answered or passed over, never a panic.
 #[test]
-fn unknown_classes_upstreams_and_requests_do_no_harm() {
+fn unknown_classes_upstreams_and_requests_are_harmless() {
     let mut balancer = Balancer::new(settings(false, false), 1).expect("the settings make sense");
     let mut actions = Vec::new();
     balancer.handle(START, Event::Discovery(DiscoveryUpdate::Full(Vec::new())), &mut actions);
@@ -580,7 +610,7 @@
     actions.clear();
     for id in [7, 8] {
         balancer.handle(START, Event::RequestAbandoned(RequestId(id)), &mut actions);
-        let ended = Event::AttemptEnded(AttemptEnded {
+        let attempt_ended = Event::AttemptEnded(AttemptEnded {
             request: RequestId(id),
             attempt: AttemptNumber(5),
             outcome: Outcome::Good,
@@ -588,27 +618,28 @@
             request_ended: true,
             load: None,
         });
-        balancer.handle(START, ended, &mut actions);
-        let started = Event::ResponseStarted { request: RequestId(id), attempt: AttemptNumber(9) };
-        balancer.handle(START, started, &mut actions);
+        balancer.handle(START, attempt_ended, &mut actions);
+        let response_started = Event::ResponseStarted { request: RequestId(id), attempt: AttemptNumber(9) };
+        balancer.handle(START, response_started, &mut actions);
     }
-    let odd = Event::ProbeEnded {
+    let probe_ended = Event::ProbeEnded {
         upstream: UpstreamId(99),
         outcome: Outcome::Good,
         duration: millis(1),
         load: None,
     };
-    balancer.handle(START, odd, &mut actions);
+    balancer.handle(START, probe_ended, &mut actions);
     assert!(actions.iter().all(|action| matches!(action, Action::CancelAttempt { .. })));
 }
 
 /// Upstreams of zones that the settings do not name need not share one: what may have run at the first is not
 /// repeated at the second, as if 'unknown' were a zone of its own.
 #[test]
-fn upstreams_of_unknown_zones_share_no_zone() {
-    let keyed = Idempotency::Deduplicated { scope: DedupScope::Zone, window: millis(5000) };
+fn upstreams_of_unknown_zones_do_not_share_a_zone() {
+    let deduplicated = Idempotency::Deduplicated { scope: DedupScope::Zone, window: millis(5000) };
     let members = (0..2).map(|id| Member { zone: None, ..common::member(id) }).collect();
-    let mut bench = common::Bench::new(Settings::single_zone(vec![common::class(keyed)]), 3, members);
+    let mut harness =
+        common::Harness::new(Settings::single_zone(vec![common::class(deduplicated)]), 3, members);
     let request = Request {
         id: RequestId(1),
         class: ClassId(0),
@@ -618,9 +649,9 @@
         expected_work: None,
         is_retry: false,
     };
-    let sent = |actions: &[Action]| actions.iter().any(|action| matches!(action, Action::Send { .. }));
-    assert!(sent(&bench.tell(Event::Request(request))));
-    let actions = bench.tell(Event::AttemptEnded(AttemptEnded {
+    let has_send = |actions: &[Action]| actions.iter().any(|action| matches!(action, Action::Send { .. }));
+    assert!(has_send(&harness.handle(Event::Request(request))));
+    let actions = harness.handle(Event::AttemptEnded(AttemptEnded {
         request: RequestId(1),
         attempt: AttemptNumber(0),
         outcome: Outcome::Reset,
@@ -628,44 +659,48 @@
         request_ended: false,
         load: None,
     }));
-    assert!(!sent(&actions) && actions.contains(&Action::Fail { request: RequestId(1) }), "{actions:?}");
+    assert!(!has_send(&actions) && actions.contains(&Action::Fail { request: RequestId(1) }), "{actions:?}");
 }
 
 /// Guards drains where lists are pushed: what is told counts whether or not a copy has a subscription, so that one
 /// that broke is had again at the next sweep, also after many failures. Where copies ask, they come back apart.
 #[test]
-fn a_subscription_to_pushed_lists_is_not_waited_for() {
-    for (ask_within, at_once) in [(None, true), (Some(millis(10_000)), false)] {
+fn a_failed_subscription_to_pushed_lists_is_retried_without_backoff() {
+    for (max_poll_interval, retries_at_every_update) in [(None, true), (Some(millis(10_000)), false)] {
         let mut settings = settings(false, true);
-        settings.rules.max_poll_interval = ask_within;
-        let mut bench = common::Bench::new(settings, 3, vec![common::member(0)]);
-        bench.pass(millis(1000));
-        let mut asked = 0;
+        settings.rules.max_poll_interval = max_poll_interval;
+        let mut harness = common::Harness::new(settings, 3, vec![common::member(0)]);
+        harness.advance(millis(1000));
+        let mut subscriptions = 0;
         for _ in 0..6 {
-            let mut actions = bench.tell(Event::Discovery(DiscoveryUpdate::Failed));
+            let mut actions = harness.handle(Event::Discovery(DiscoveryUpdate::Failed));
             // A sweep comes five times a second.
-            bench.now += millis(200);
-            actions.extend(bench.tell(Event::TimerFired));
-            asked += actions.iter().filter(|action| **action == Action::SubscribeToDiscovery).count();
+            harness.now += millis(200);
+            actions.extend(harness.handle(Event::TimerFired));
+            subscriptions += actions.iter().filter(|action| **action == Action::SubscribeToDiscovery).count();
         }
-        assert_eq!(asked == 6, at_once, "asked {asked} times where asking is due within {ask_within:?}");
+        assert_eq!(
+            subscriptions == 6,
+            retries_at_every_update,
+            "asked {subscriptions} times where asking is due within {max_poll_interval:?}"
+        );
     }
 }
 
 /// The grace may be shorter than a sweep: a watch on pushed lists that stood and breaks is asked for anew at once, one
 /// that breaks again before its first word at the next sweep.
 #[test]
-fn a_broken_subscription_to_pushed_lists_is_opened_at_once() {
+fn a_lost_subscription_to_pushed_lists_is_reopened_immediately() {
     let mut settings = settings(false, true);
     settings.rules.max_poll_interval = None;
-    let mut bench = common::Bench::new(settings, 3, vec![common::member(0)]);
-    let asks = |actions: Vec<Action>| actions.contains(&Action::SubscribeToDiscovery);
+    let mut harness = common::Harness::new(settings, 3, vec![common::member(0)]);
+    let subscribes = |actions: Vec<Action>| actions.contains(&Action::SubscribeToDiscovery);
     for _ in 0..3 {
-        bench.tell(Event::Discovery(DiscoveryUpdate::Incremental(Vec::new())));
-        bench.pass(millis(1000));
-        assert!(asks(bench.tell(Event::Discovery(DiscoveryUpdate::Failed))));
-        assert!(!asks(bench.tell(Event::Discovery(DiscoveryUpdate::Failed))));
-        bench.now += millis(200);
-        assert!(asks(bench.tell(Event::TimerFired)));
+        harness.handle(Event::Discovery(DiscoveryUpdate::Incremental(Vec::new())));
+        harness.advance(millis(1000));
+        assert!(subscribes(harness.handle(Event::Discovery(DiscoveryUpdate::Failed))));
+        assert!(!subscribes(harness.handle(Event::Discovery(DiscoveryUpdate::Failed))));
+        harness.now += millis(200);
+        assert!(subscribes(harness.handle(Event::TimerFired)));
     }
 }
