--- a/examples/embed.rs
+++ b/examples/embed.rs
@@ -10,13 +10,13 @@
 use stilelead_decision::{Action, Balancer, Event, Settings};
 
 fn main() -> Result<(), SettingsError> {
-    let read = Class {
+    let class = Class {
         latency_target: Duration::from_millis(500),
         deadline: Duration::from_secs(2),
         late_value: 0.0,
         idempotency: Idempotency::Idempotent,
     };
-    let mut balancer = Balancer::new(Settings::single_zone(vec![read]), 7)?;
+    let mut balancer = Balancer::new(Settings::single_zone(vec![class]), 7)?;
     let mut now = Duration::from_secs(1);
     let mut actions = Vec::new();
     balancer.handle(now, Event::Started, &mut actions);
@@ -31,12 +31,12 @@
     });
     balancer.handle(now, Event::Discovery(DiscoveryUpdate::Full(members.collect())), &mut actions);
 
-    let mut wake = carry_out(now, &mut actions).expect("a start asks for the first wake-up");
+    let mut timer_at = carry_out(now, &mut actions).expect("a start asks for the first wake-up");
     for number in 0..20 {
         now += Duration::from_millis(50);
-        if now >= wake {
+        if now >= timer_at {
             balancer.handle(now, Event::TimerFired, &mut actions);
-            wake = carry_out(now, &mut actions).expect("each wake-up asks for the next");
+            timer_at = carry_out(now, &mut actions).expect("each wake-up asks for the next");
         }
         let id = RequestId(number);
         let request = Request {
@@ -49,11 +49,11 @@
             is_retry: false,
         };
         balancer.handle(now, Event::Request(request), &mut actions);
-        let sent = actions.iter().any(|action| matches!(action, Action::Send { .. }));
+        let was_sent = actions.iter().any(|action| matches!(action, Action::Send { .. }));
         carry_out(now, &mut actions);
-        if sent {
+        if was_sent {
             // The upstream answers at once; the answer ends the request.
-            let ended = Event::AttemptEnded(AttemptEnded {
+            let attempt_ended = Event::AttemptEnded(AttemptEnded {
                 request: id,
                 attempt: AttemptNumber(0),
                 outcome: Outcome::Good,
@@ -61,7 +61,7 @@
                 request_ended: true,
                 load: None,
             });
-            balancer.handle(now + Duration::from_millis(20), ended, &mut actions);
+            balancer.handle(now + Duration::from_millis(20), attempt_ended, &mut actions);
         }
     }
     // A copy is shut down by dropping it, once nothing it holds is owed an answer.
@@ -70,12 +70,12 @@
 
 /// Prints what a program would do, and tells when the next wake-up is due, if one was asked for.
 fn carry_out(now: Duration, actions: &mut Vec<Action>) -> Option<Duration> {
-    let mut wake = None;
+    let mut timer_at = None;
     for action in actions.drain(..) {
         match action {
-            Action::SetTimer(span) => wake = Some(now + span),
+            Action::SetTimer(delay) => timer_at = Some(now + delay),
             other => println!("{:.2} s: {other:?}", now.as_secs_f64()),
         }
     }
-    wake
+    timer_at
 }
--- a/proxy/src/config.rs
+++ b/proxy/src/config.rs
@@ -9,7 +9,7 @@
 use serde::Deserialize;
 use serde_json::value::RawValue;
 use stilelead_decision::interface::SettingsError;
-use stilelead_simulator::setup::{self, Loaded, SetupError};
+use stilelead_simulator::setup::{self, ParsedSettings, SetupError};
 use thiserror::Error;
 
 use crate::discovery::Update;
@@ -100,7 +100,7 @@
     /// The list of upstreams to start with, which may be out of date.
     pub known: Option<Update>,
     /// The settings object, parsed.
-    pub loaded: Loaded,
+    pub loaded: ParsedSettings,
 }
 
 impl Config {
@@ -133,7 +133,7 @@
     /// The text is not a valid configuration.
     pub fn parse(text: &str, variable: impl Fn(&str) -> Option<String>) -> Result<Self, ConfigError> {
         let file: ConfigFile = serde_json::from_str(text)?;
-        let loaded = setup::read(file.settings.get())?;
+        let loaded = setup::parse_settings(file.settings.get())?;
         loaded.settings.validate()?;
         let listen = variable("PROXY_LISTEN").or(file.listen);
         let discovery = variable("PROXY_DISCOVERY").or(file.discovery);
--- a/proxy/src/directory.rs
+++ b/proxy/src/directory.rs
@@ -150,7 +150,7 @@
         Some(Member {
             id,
             zone: names.zones.get(&endpoint.zone).copied().map(ZoneId),
-            machine_type: names.kinds.get(&endpoint.kind).copied().map(MachineTypeId),
+            machine_type: names.machine_types.get(&endpoint.kind).copied().map(MachineTypeId),
             cell: endpoint.group,
             phase,
             weight: if weight.is_finite() && weight >= 0.0 { weight } else { 1.0 },
--- a/proxy/src/in_force.rs
+++ b/proxy/src/in_force.rs
@@ -58,7 +58,7 @@
             classes: names.classes.clone(),
             tenants: names.tenants.clone(),
             zones: names.zones.clone(),
-            machine_types: names.kinds.clone(),
+            machine_types: names.machine_types.clone(),
         };
         Self {
             name: config.name,
@@ -89,7 +89,8 @@
         let classes = carry_over(NameList::Classes, &self.assigned.classes, &names.classes)?;
         let tenants = carry_over(NameList::Tenants, &self.assigned.tenants, &names.tenants)?;
         let zones = carry_over(NameList::Zones, &self.assigned.zones, &names.zones)?;
-        let machine_types = carry_over(NameList::MachineTypes, &self.assigned.machine_types, &names.kinds)?;
+        let machine_types =
+            carry_over(NameList::MachineTypes, &self.assigned.machine_types, &names.machine_types)?;
         let new_settings = config.loaded.settings;
         let removed_tenants = vec![Tenant { quota: Some(0.0) }; self.settings.tenants.len()];
         let settings = Settings {
@@ -105,7 +106,7 @@
             classes: classes.in_use,
             tenants: tenants.in_use,
             zones: zones.in_use,
-            kinds: machine_types.in_use,
+            machine_types: machine_types.in_use,
             load_fields: names.load_fields,
         };
         let assigned = AssignedPositions {
@@ -168,8 +169,8 @@
         ));
         differences.extend(name_differences(
             NameList::MachineTypes,
-            &self.names.kinds,
-            &next.names.kinds,
+            &self.names.machine_types,
+            &next.names.machine_types,
             never_differs,
         ));
         let integers = [
--- a/proxy/src/in_force/tests.rs
+++ b/proxy/src/in_force/tests.rs
@@ -59,7 +59,7 @@
     assert_eq!(by_position(&next.names.classes), owned(&[(0, "read"), (2, "order")]));
     assert_eq!(by_position(&next.names.tenants), owned(&[(1, "zenith"), (2, "nova")]));
     assert_eq!(by_position(&next.names.zones), owned(&[(1, "south"), (2, "west")]));
-    assert_eq!(by_position(&next.names.kinds), owned(&[(0, "std"), (1, "big")]));
+    assert_eq!(by_position(&next.names.machine_types), owned(&[(0, "std"), (1, "big")]));
     let settings = next.settings();
     let effects: Vec<_> = settings.classes.iter().map(|class| class.idempotency).collect();
     assert_eq!(effects, [stilelead_decision::interface::Idempotency::NonIdempotent; 3]);
--- a/simulator/src/host.rs
+++ b/simulator/src/host.rs
@@ -12,8 +12,8 @@
 use stilelead_decision::{Action, Balancer, Event};
 use thiserror::Error;
 
-use crate::setup::{self, Loaded, Names};
-use crate::wire::{self, Fields, Malformed, bad};
+use crate::setup::{self, Names, ParsedSettings};
+use crate::wire::{self, Fields, Malformed, invalid_field};
 
 /// Why the adapter stops early.
 #[derive(Debug, Error)]
@@ -32,35 +32,35 @@
 }
 
 /// An entry of a list before an instance's names are applied to it.
-struct Entry {
+struct ListEntry {
     zone: String,
-    kind: String,
+    machine_type: String,
     member: Member,
 }
 
 struct Instance {
     balancer: Balancer,
     names: Names,
-    ids: FxHashMap<Box<str>, RequestId>,
-    tickets: FxHashMap<RequestId, Ticket>,
-    next_id: u64,
+    ids_by_ticket: FxHashMap<Box<str>, RequestId>,
+    tracked_requests: FxHashMap<RequestId, TrackedRequest>,
+    next_request_id: u64,
 }
 
 /// A request's id on the wire, kept until nothing can name it any more.
-struct Ticket {
-    text: Box<str>,
-    out: u32,
+struct TrackedRequest {
+    ticket: Box<str>,
+    attempts_in_flight: u32,
     ended: bool,
 }
 
 impl Instance {
-    fn release(&mut self, id: RequestId) {
-        if let Some(ticket) = self.tickets.get(&id)
-            && ticket.ended
-            && ticket.out == 0
+    fn remove_if_ended(&mut self, id: RequestId) {
+        if let Some(tracked) = self.tracked_requests.get(&id)
+            && tracked.ended
+            && tracked.attempts_in_flight == 0
         {
-            self.ids.remove(&ticket.text);
-            self.tickets.remove(&id);
+            self.ids_by_ticket.remove(&tracked.ticket);
+            self.tracked_requests.remove(&id);
         }
     }
 }
@@ -70,12 +70,12 @@
 pub struct Host {
     /// `None` for an instance that was killed.
     instances: FxHashMap<u32, Option<Instance>>,
-    lists: FxHashMap<u32, Vec<Entry>>,
-    filling: Option<(u32, usize)>,
+    lists: FxHashMap<u32, Vec<ListEntry>>,
+    unfinished_list: Option<(u32, usize)>,
     now: Duration,
-    batch: Option<String>,
-    to: Option<u32>,
-    from: Option<u32>,
+    current_batch: Option<String>,
+    target_instance: Option<u32>,
+    last_output_instance: Option<u32>,
     actions: Vec<Action>,
 }
 
@@ -87,40 +87,41 @@
         loop {
             text.clear();
             if input.read_until(b'\n', &mut text)? == 0 {
-                if self.batch.is_some() {
-                    return Err(HostError::Line { line, cause: Malformed::EndsWithin });
+                if self.current_batch.is_some() {
+                    return Err(HostError::Line { line, cause: Malformed::InputEndsInBatch });
                 }
                 return Ok(());
             }
             line += 1;
             let text = text.strip_suffix(b"\n").unwrap_or(&text);
-            let handled =
-                from_utf8(text).map_err(|_| Malformed::NotText).and_then(|text| self.line(text, &mut output));
+            let handled = from_utf8(text)
+                .map_err(|_| Malformed::NotUtf8)
+                .and_then(|text| self.handle_line(text, &mut output));
             match handled {
-                Ok(Written::Batch) => output.flush()?,
-                Ok(Written::Nothing) => {}
-                Ok(Written::Failed(error)) => return Err(error.into()),
+                Ok(LineResult::BatchEnded) => output.flush()?,
+                Ok(LineResult::Done) => {}
+                Ok(LineResult::OutputFailed(error)) => return Err(error.into()),
                 Err(cause) => return Err(HostError::Line { line, cause }),
             }
         }
     }
 
-    fn line(&mut self, text: &str, output: &mut impl Write) -> Result<Written, Malformed> {
+    fn handle_line(&mut self, text: &str, output: &mut impl Write) -> Result<LineResult, Malformed> {
         let (name, rest) = match text.split_once('\t') {
             Some((name, rest)) => (name, Some(rest)),
             None => (text, None),
         };
         let mut fields = Fields::new(rest);
-        if let Some((list, missing)) = self.filling
+        if let Some((list, missing)) = self.unfinished_list
             && missing > 0
             && name != "M"
         {
-            return Err(Malformed::ShortList { list, missing });
+            return Err(Malformed::IncompleteList { list, missing });
         }
         if name == "TURN" {
-            return self.open_batch(fields).map(|()| Written::Nothing);
+            return self.start_batch(fields).map(|()| LineResult::Done);
         }
-        if self.batch.is_none() {
+        if self.current_batch.is_none() {
             return Err(match name {
                 "YOUR_TURN" => Malformed::OutsideBatch("YOUR_TURN"),
                 _ => Malformed::OutsideBatch("a message"),
@@ -128,105 +129,119 @@
         }
         match name {
             "YOUR_TURN" => {
-                fields.end()?;
-                let batch = self.batch.take().unwrap_or_default();
-                return Ok(Written::from(writeln!(output, "READY\t{batch}"), Written::Batch));
+                fields.expect_end()?;
+                let batch = self.current_batch.take().unwrap_or_default();
+                return Ok(LineResult::from_write(
+                    writeln!(output, "READY\t{batch}"),
+                    LineResult::BatchEnded,
+                ));
             }
             "TO" => {
-                self.to = Some(fields.number("balancerId")?);
-                fields.end()?;
+                self.target_instance = Some(fields.number("balancerId")?);
+                fields.expect_end()?;
             }
-            "INVENTORY" => self.open_list(fields)?,
-            "M" => self.entry(fields)?,
+            "INVENTORY" => self.start_list(fields)?,
+            "M" => self.add_list_entry(fields)?,
             _ => {
-                let number = self.to.ok_or(Malformed::NoInstance)?;
-                self.event(number, name, fields)?;
-                return Ok(Written::from(self.write_actions(number, output), Written::Nothing));
+                let instance_number = self.target_instance.ok_or(Malformed::NoTargetInstance)?;
+                self.handle_event(instance_number, name, fields)?;
+                return Ok(LineResult::from_write(
+                    self.write_actions(instance_number, output),
+                    LineResult::Done,
+                ));
             }
         }
-        Ok(Written::Nothing)
+        Ok(LineResult::Done)
     }
 
-    fn open_batch(&mut self, mut fields: Fields) -> Result<(), Malformed> {
-        if self.batch.is_some() {
+    fn start_batch(&mut self, mut fields: Fields) -> Result<(), Malformed> {
+        if self.current_batch.is_some() {
             return Err(Malformed::OutsideBatch("TURN stands within a batch, not"));
         }
         let now = fields.seconds("clock")?;
-        let number = fields.text("batch")?;
-        number.parse::<u64>().map_err(|_| bad("batch", number))?;
-        fields.end()?;
+        let batch = fields.text("batch")?;
+        batch.parse::<u64>().map_err(|_| invalid_field("batch", batch))?;
+        fields.expect_end()?;
         if now < self.now {
-            return Err(Malformed::ClockBack);
+            return Err(Malformed::ClockWentBack);
         }
         self.now = now;
-        self.batch = Some(number.to_owned());
-        self.to = None;
-        self.from = None;
+        self.current_batch = Some(batch.to_owned());
+        self.target_instance = None;
+        self.last_output_instance = None;
         Ok(())
     }
 
-    fn open_list(&mut self, mut fields: Fields) -> Result<(), Malformed> {
+    fn start_list(&mut self, mut fields: Fields) -> Result<(), Malformed> {
         let list = fields.number("buffer")?;
         let count: usize = fields.number("membersList")?;
-        fields.end()?;
-        self.filling = Some((list, count));
+        fields.expect_end()?;
+        self.unfinished_list = Some((list, count));
         self.lists.insert(list, Vec::new());
         Ok(())
     }
 
-    fn entry(&mut self, mut fields: Fields) -> Result<(), Malformed> {
-        let Some((list, missing)) = self.filling.filter(|&(_, missing)| missing > 0) else {
-            return Err(Malformed::StrayEntry);
+    fn add_list_entry(&mut self, mut fields: Fields) -> Result<(), Malformed> {
+        let Some((list, missing)) = self.unfinished_list.filter(|&(_, missing)| missing > 0) else {
+            return Err(Malformed::EntryOutsideList);
         };
         let id = UpstreamId(fields.number("upstream")?);
         let zone = fields.optional("regionPart")?.unwrap_or_default().to_owned();
-        let kind = fields.optional("machine")?.unwrap_or_default().to_owned();
+        let machine_type = fields.optional("machine")?.unwrap_or_default().to_owned();
         let cell = fields.optional("cluster")?;
-        let cell =
-            cell.map(|cell| cell.parse().map_err(|_| bad("cluster", cell))).transpose()?.unwrap_or_default();
-        let phase = wire::phase(fields.text("phase")?)?;
+        let cell = cell
+            .map(|cell| cell.parse().map_err(|_| invalid_field("cluster", cell)))
+            .transpose()?
+            .unwrap_or_default();
+        let phase = wire::parse_phase(fields.text("phase")?)?;
         let weight = match fields.optional("nominal")? {
             Some(value) => value
                 .parse()
                 .ok()
                 .filter(|weight: &f64| weight.is_finite() && *weight >= 0.0)
-                .ok_or_else(|| bad("nominal", value))?,
+                .ok_or_else(|| invalid_field("nominal", value))?,
             None => 1.0,
         };
-        let started = fields.optional_seconds("readyAtS")?.filter(|start| !start.is_zero());
-        fields.end()?;
-        let member = Member { id, zone: None, machine_type: None, cell, phase, weight, started_at: started };
-        self.lists.entry(list).or_default().push(Entry { zone, kind, member });
-        self.filling = Some((list, missing - 1));
+        let started_at = fields.optional_seconds("readyAtS")?.filter(|started_at| !started_at.is_zero());
+        fields.expect_end()?;
+        let member = Member { id, zone: None, machine_type: None, cell, phase, weight, started_at };
+        self.lists.entry(list).or_default().push(ListEntry { zone, machine_type, member });
+        self.unfinished_list = Some((list, missing - 1));
         Ok(())
     }
 
-    fn event(&mut self, number: u32, name: &str, mut fields: Fields) -> Result<(), Malformed> {
+    fn handle_event(
+        &mut self,
+        instance_number: u32,
+        name: &str,
+        mut fields: Fields,
+    ) -> Result<(), Malformed> {
         if name == "START" {
-            return self.start(number, fields);
+            return self.start_instance(instance_number, fields);
         }
-        let instance = self.instances.get_mut(&number).ok_or(Malformed::NotStarted(number))?;
+        let instance =
+            self.instances.get_mut(&instance_number).ok_or(Malformed::InstanceNotStarted(instance_number))?;
         if name == "DESTROY" {
             *instance = None;
-            return fields.end();
+            return fields.expect_end();
         }
         // Nothing is owed to a killed instance: what still comes for it is checked and dropped.
-        let Some(instance) = instance else { return known(name) };
+        let Some(instance) = instance else { return check_message_name(name) };
         let event = match name {
-            "PEERS_KNOWN" => Some(list_event(&self.lists, &instance.names, &mut fields)?),
-            "ASK" => Some(ask(instance, &mut fields)?),
+            "PEERS_KNOWN" => Some(parse_list_update(&self.lists, &instance.names, &mut fields)?),
+            "ASK" => Some(parse_request(instance, &mut fields)?),
             "FIRST" => {
-                let id = instance.ids.get(fields.text("ticket")?).copied();
+                let id = instance.ids_by_ticket.get(fields.text("ticket")?).copied();
                 let attempt = AttemptNumber(fields.number("n")?);
                 fields.number::<u32>("upstream")?;
                 fields.seconds("durationS")?;
                 id.map(|request| Event::ResponseStarted { request, attempt })
             }
-            "ATTEMPT_END" => attempt_end(instance, &mut fields)?,
+            "ATTEMPT_END" => parse_attempt_end(instance, &mut fields)?,
             "TIMED_OUT_CLIENT" => {
-                let id = instance.ids.get(fields.text("ticket")?).copied();
-                if let Some(ticket) = id.and_then(|id| instance.tickets.get_mut(&id)) {
-                    ticket.ended = true;
+                let id = instance.ids_by_ticket.get(fields.text("ticket")?).copied();
+                if let Some(tracked) = id.and_then(|id| instance.tracked_requests.get_mut(&id)) {
+                    tracked.ended = true;
                 }
                 id.map(Event::RequestAbandoned)
             }
@@ -235,87 +250,87 @@
                 Some(Event::TimerFired)
             }
             "HEALTH" => {
-                let outcome = wire::outcome(fields.text("outcome")?)?;
-                let took = fields.seconds("durationS")?;
+                let outcome = wire::parse_outcome(fields.text("outcome")?)?;
+                let duration = fields.seconds("durationS")?;
                 let upstream = UpstreamId(fields.number("upstream")?);
-                let load = load(&instance.names, &mut fields)?;
-                Some(Event::ProbeEnded { upstream, outcome, duration: took, load })
+                let load = parse_load_report(&instance.names, &mut fields)?;
+                Some(Event::ProbeEnded { upstream, outcome, duration, load })
             }
             "NOTE_FROM" => {
-                let from = fields.number("by")?;
-                let content = wire::bytes(fields.text("content")?)?;
-                Some(Event::PeerMessage { sender: from, payload: content })
+                let sender = fields.number("by")?;
+                let payload = wire::parse_hex(fields.text("content")?)?;
+                Some(Event::PeerMessage { sender, payload })
             }
-            _ => return known(name),
+            _ => return check_message_name(name),
         };
-        fields.end()?;
+        fields.expect_end()?;
         if let Some(event) = event {
-            let ends = match event {
+            let ended_request = match event {
                 Event::RequestAbandoned(id) | Event::AttemptEnded(AttemptEnded { request: id, .. }) => {
                     Some(id)
                 }
                 _ => None,
             };
             instance.balancer.handle(self.now, event, &mut self.actions);
-            note_actions(instance, &self.actions);
+            track_actions(instance, &self.actions);
             // Released after the actions are written, which may still name it.
-            if let Some(id) = ends
+            if let Some(id) = ended_request
                 && self.actions.is_empty()
             {
-                instance.release(id);
+                instance.remove_if_ended(id);
             }
         }
         Ok(())
     }
 
-    fn start(&mut self, number: u32, mut fields: Fields) -> Result<(), Malformed> {
+    fn start_instance(&mut self, instance_number: u32, mut fields: Fields) -> Result<(), Malformed> {
         let seed = fields.number("nonce64")?;
-        let Loaded { settings, names, .. } = setup::read(fields.remainder("setup")?)?;
+        let ParsedSettings { settings, names, .. } = setup::parse_settings(fields.remainder("setup")?)?;
         let mut balancer = Balancer::new(settings, seed)?;
         balancer.handle(self.now, Event::Started, &mut self.actions);
         let instance = Instance {
             balancer,
             names,
-            ids: FxHashMap::default(),
-            tickets: FxHashMap::default(),
-            next_id: 0,
+            ids_by_ticket: FxHashMap::default(),
+            tracked_requests: FxHashMap::default(),
+            next_request_id: 0,
         };
-        self.instances.insert(number, Some(instance));
+        self.instances.insert(instance_number, Some(instance));
         Ok(())
     }
 
-    fn write_actions(&mut self, number: u32, output: &mut impl Write) -> io::Result<()> {
+    fn write_actions(&mut self, instance_number: u32, output: &mut impl Write) -> io::Result<()> {
         if self.actions.is_empty() {
             return Ok(());
         }
-        let Some(Some(instance)) = self.instances.get_mut(&number) else { return Ok(()) };
-        if self.from != Some(number) {
-            self.from = Some(number);
-            writeln!(output, "INSTANCE\t{number}")?;
+        let Some(Some(instance)) = self.instances.get_mut(&instance_number) else { return Ok(()) };
+        if self.last_output_instance != Some(instance_number) {
+            self.last_output_instance = Some(instance_number);
+            writeln!(output, "INSTANCE\t{instance_number}")?;
         }
         for action in self.actions.drain(..) {
             write_action(instance, &action, output)?;
-            if let Some(id) = named(&action) {
-                instance.release(id);
+            if let Some(id) = request_of(&action) {
+                instance.remove_if_ended(id);
             }
         }
         Ok(())
     }
 }
 
-enum Written {
-    Nothing,
-    Batch,
-    Failed(io::Error),
+enum LineResult {
+    Done,
+    BatchEnded,
+    OutputFailed(io::Error),
 }
 
-impl Written {
-    fn from(result: io::Result<()>, done: Self) -> Self {
-        result.map_or_else(Self::Failed, |()| done)
+impl LineResult {
+    fn from_write(result: io::Result<()>, done: Self) -> Self {
+        result.map_or_else(Self::OutputFailed, |()| done)
     }
 }
 
-fn known(name: &str) -> Result<(), Malformed> {
+fn check_message_name(name: &str) -> Result<(), Malformed> {
     const EVENTS: [&str; 9] = [
         "PEERS_KNOWN",
         "ASK",
@@ -334,8 +349,8 @@
     }
 }
 
-fn list_event(
-    lists: &FxHashMap<u32, Vec<Entry>>,
+fn parse_list_update(
+    lists: &FxHashMap<u32, Vec<ListEntry>>,
     names: &Names,
     fields: &mut Fields,
 ) -> Result<Event, Malformed> {
@@ -345,13 +360,13 @@
     if scope == "broken" {
         return Ok(Event::Discovery(DiscoveryUpdate::Failed));
     }
-    let list = buffer.parse().map_err(|_| bad("buffer", buffer))?;
-    let entries = lists.get(&list).ok_or(Malformed::NoList(list))?;
+    let list = buffer.parse().map_err(|_| invalid_field("buffer", buffer))?;
+    let entries = lists.get(&list).ok_or(Malformed::UnknownList(list))?;
     let members = entries
         .iter()
         .map(|entry| Member {
             zone: names.zones.get(&entry.zone).copied().map(ZoneId),
-            machine_type: names.kinds.get(&entry.kind).copied().map(MachineTypeId),
+            machine_type: names.machine_types.get(&entry.machine_type).copied().map(MachineTypeId),
             ..entry.member
         })
         .collect();
@@ -359,80 +374,76 @@
         "patch" => DiscoveryUpdate::Incremental(members),
         "whole" => DiscoveryUpdate::Full(members),
         "stale_copy" => DiscoveryUpdate::Stale(members),
-        _ => return Err(bad("scope", scope)),
+        _ => return Err(invalid_field("scope", scope)),
     }))
 }
 
-fn ask(instance: &mut Instance, fields: &mut Fields) -> Result<Event, Malformed> {
-    const HINT_VALID: u32 = 1;
-    const REPEAT: u32 = 2;
-    let text = fields.text("ticket")?;
-    if instance.ids.contains_key(text) {
-        return Err(Malformed::RequestAgain(text.to_owned()));
+fn parse_request(instance: &mut Instance, fields: &mut Fields) -> Result<Event, Malformed> {
+    const EXPECTED_WORK_VALID_BIT: u32 = 1;
+    const RETRY_BIT: u32 = 2;
+    let ticket = fields.text("ticket")?;
+    if instance.ids_by_ticket.contains_key(ticket) {
+        return Err(Malformed::DuplicateRequest(ticket.to_owned()));
     }
     let class = fields.text("cls")?;
-    let class = *instance.names.classes.get(class).ok_or_else(|| bad("cls", class))?;
+    let class = *instance.names.classes.get(class).ok_or_else(|| invalid_field("cls", class))?;
     let tenant = match fields.optional("owner")? {
         None | Some("0") => None,
-        Some(name) => Some(*instance.names.tenants.get(name).ok_or_else(|| bad("owner", name))?),
+        Some(name) => Some(*instance.names.tenants.get(name).ok_or_else(|| invalid_field("owner", name))?),
     };
-    let key = fields.optional("pathKey")?;
-    let key = key.map(|key| key.parse().map_err(|_| bad("pathKey", key))).transpose()?;
+    let resource_key = fields.optional("pathKey")?;
+    let resource_key =
+        resource_key.map(|key| key.parse().map_err(|_| invalid_field("pathKey", key))).transpose()?;
     let time_left = fields.seconds("ttlS")?;
-    let hint = fields.optional_seconds("expectedS")?;
-    let bits = fields.optional("stateBits")?.unwrap_or("0");
-    let bits: u32 = bits.parse().map_err(|_| bad("stateBits", bits))?;
-    let id = RequestId(instance.next_id);
-    instance.next_id += 1;
-    instance.ids.insert(text.into(), id);
-    instance.tickets.insert(id, Ticket { text: text.into(), out: 0, ended: false });
+    let expected_work = fields.optional_seconds("expectedS")?;
+    let state_bits = fields.optional("stateBits")?.unwrap_or("0");
+    let state_bits: u32 = state_bits.parse().map_err(|_| invalid_field("stateBits", state_bits))?;
+    let id = RequestId(instance.next_request_id);
+    instance.next_request_id += 1;
+    instance.ids_by_ticket.insert(ticket.into(), id);
+    instance
+        .tracked_requests
+        .insert(id, TrackedRequest { ticket: ticket.into(), attempts_in_flight: 0, ended: false });
     Ok(Event::Request(Request {
         id,
         class: ClassId(class),
         tenant: tenant.map(TenantId),
-        resource_key: key,
+        resource_key,
         time_left,
-        expected_work: hint.filter(|_| bits & HINT_VALID != 0),
-        is_retry: bits & REPEAT != 0,
+        expected_work: expected_work.filter(|_| state_bits & EXPECTED_WORK_VALID_BIT != 0),
+        is_retry: state_bits & RETRY_BIT != 0,
     }))
 }
 
-fn attempt_end(instance: &mut Instance, fields: &mut Fields) -> Result<Option<Event>, Malformed> {
-    let id = instance.ids.get(fields.text("ticket")?).copied();
+fn parse_attempt_end(instance: &mut Instance, fields: &mut Fields) -> Result<Option<Event>, Malformed> {
+    let id = instance.ids_by_ticket.get(fields.text("ticket")?).copied();
     let attempt = AttemptNumber(fields.number("n")?);
     fields.number::<u32>("upstream")?;
-    let outcome = wire::outcome(fields.text("outcome")?)?;
-    let took = fields.seconds("durationS")?;
-    let finished = fields.flag("terminal")?;
-    let load = load(&instance.names, fields)?;
+    let outcome = wire::parse_outcome(fields.text("outcome")?)?;
+    let duration = fields.seconds("durationS")?;
+    let request_ended = fields.flag("terminal")?;
+    let load = parse_load_report(&instance.names, fields)?;
     let Some(request) = id else { return Ok(None) };
-    if let Some(ticket) = instance.tickets.get_mut(&request) {
-        ticket.out = ticket.out.saturating_sub(1);
-        ticket.ended |= finished;
+    if let Some(tracked) = instance.tracked_requests.get_mut(&request) {
+        tracked.attempts_in_flight = tracked.attempts_in_flight.saturating_sub(1);
+        tracked.ended |= request_ended;
     }
-    Ok(Some(Event::AttemptEnded(AttemptEnded {
-        request,
-        attempt,
-        outcome,
-        duration: took,
-        request_ended: finished,
-        load,
-    })))
+    Ok(Some(Event::AttemptEnded(AttemptEnded { request, attempt, outcome, duration, request_ended, load })))
 }
 
-fn load(names: &Names, fields: &mut Fields) -> Result<Option<LoadReport>, Malformed> {
+fn parse_load_report(names: &Names, fields: &mut Fields) -> Result<Option<LoadReport>, Malformed> {
     let Some(text) = fields.optional("stats")? else { return Ok(None) };
     let mut report = LoadReport::default();
-    for (position, value) in text.split(',').enumerate() {
-        let number: f64 = value.parse().map_err(|_| bad("stats", text))?;
-        let name = names.load_fields.get(position).ok_or_else(|| bad("stats", text))?;
+    for (index, value) in text.split(',').enumerate() {
+        let number: f64 = value.parse().map_err(|_| invalid_field("stats", text))?;
+        let name = names.load_fields.get(index).ok_or_else(|| invalid_field("stats", text))?;
         setup::set_load_field(&mut report, name, number);
     }
     Ok(Some(report))
 }
 
 /// The request that an action ends or names.
-fn named(action: &Action) -> Option<RequestId> {
+fn request_of(action: &Action) -> Option<RequestId> {
     match *action {
         Action::Send { request, .. }
         | Action::CancelAttempt { request, .. }
@@ -448,22 +459,22 @@
 }
 
 /// Keeps the tickets in step with what the balancer has asked for.
-fn note_actions(instance: &mut Instance, actions: &[Action]) {
+fn track_actions(instance: &mut Instance, actions: &[Action]) {
     for action in actions {
-        let Some(ticket) = named(action).and_then(|id| instance.tickets.get_mut(&id)) else {
+        let Some(tracked) = request_of(action).and_then(|id| instance.tracked_requests.get_mut(&id)) else {
             continue;
         };
         match action {
-            Action::Send { .. } => ticket.out += 1,
-            Action::Refuse { .. } | Action::Fail { .. } => ticket.ended = true,
+            Action::Send { .. } => tracked.attempts_in_flight += 1,
+            Action::Refuse { .. } | Action::Fail { .. } => tracked.ended = true,
             _ => {}
         }
     }
 }
 
 fn write_action(instance: &Instance, action: &Action, output: &mut impl Write) -> io::Result<()> {
-    let ticket = named(action).and_then(|id| instance.tickets.get(&id));
-    let ticket = ticket.map_or("-", |ticket| &*ticket.text);
+    let tracked = request_of(action).and_then(|id| instance.tracked_requests.get(&id));
+    let ticket = tracked.map_or("-", |tracked| &*tracked.ticket);
     match action {
         Action::Send { upstream, timeout, .. } => {
             write!(output, "CALL_OUT\t{ticket}\t{}\t", upstream.0)?;
@@ -480,15 +491,15 @@
         Action::AbortPendingConnects { .. } => Ok(()),
         Action::Probe { upstream } => writeln!(output, "POLL\t{}", upstream.0),
         Action::CloseIdleConnections { upstream } => writeln!(output, "DROP_CONNS\t{}", upstream.0),
-        Action::SetTimer(span) => writeln!(output, "AFTER\t{:.6}\tsweep", span.as_secs_f64()),
+        Action::SetTimer(duration) => writeln!(output, "AFTER\t{:.6}\tsweep", duration.as_secs_f64()),
         // Each line would be paid for by the copies that the wire measures.
         Action::Report(_) => Ok(()),
     }
 }
 
-fn write_seconds(span: Option<Duration>, output: &mut impl Write) -> io::Result<()> {
-    match span {
-        Some(span) => writeln!(output, "{:.6}", span.as_secs_f64()),
+fn write_seconds(duration: Option<Duration>, output: &mut impl Write) -> io::Result<()> {
+    match duration {
+        Some(duration) => writeln!(output, "{:.6}", duration.as_secs_f64()),
         None => writeln!(output, "-"),
     }
 }
--- a/simulator/src/setup.rs
+++ b/simulator/src/setup.rs
@@ -21,7 +21,7 @@
     Json(#[from] serde_json::Error),
     /// A value that makes no sense.
     #[error("{name} makes no sense: {value:?}")]
-    Value {
+    InvalidValue {
         /// Where it stands.
         name: String,
         /// What stands there.
@@ -31,7 +31,7 @@
 
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
-struct Setup {
+struct SettingsJson {
     balancers: u32,
     me: u32,
     #[serde(default)]
@@ -40,31 +40,31 @@
     zones: Vec<String>,
     #[serde(default)]
     kinds: Vec<String>,
-    lanes: Vec<Lane>,
+    lanes: Vec<ClassJson>,
     #[serde(default)]
-    projects: Vec<Project>,
-    #[serde(default = "one")]
+    projects: Vec<TenantJson>,
+    #[serde(default = "default_over_share_worth")]
     over_share_worth: f64,
-    discovery: Discovery,
+    discovery: DiscoveryJson,
     #[serde(default)]
-    family_info: FamilyInfo,
-    caps: Caps,
-    rules: RuleFigures,
+    family_info: FamilyInfoJson,
+    caps: CapabilitiesJson,
+    rules: RulesJson,
     #[serde(default)]
-    prices: PriceFigures,
+    prices: CostsJson,
     #[serde(default)]
-    load_info: LoadInfo,
+    load_info: LoadInfoJson,
 }
 
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
-struct Lane {
+struct ClassJson {
     name: String,
     on_time_s: f64,
     hard_limit_s: f64,
     #[serde(default)]
     late_worth: f64,
-    effect: EffectName,
+    effect: IdempotencyJson,
     #[serde(default)]
     dedup_scope: Option<String>,
     #[serde(default)]
@@ -73,7 +73,7 @@
 
 #[derive(Deserialize)]
 #[serde(rename_all = "snake_case")]
-enum EffectName {
+enum IdempotencyJson {
     Idempotent,
     Deduplicated,
     AtMostOnce,
@@ -81,14 +81,14 @@
 
 #[derive(Deserialize)]
 #[serde(rename_all = "lowercase")]
-enum Discovery {
+enum DiscoveryJson {
     Automatic,
     Subscribe,
 }
 
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
-struct Project {
+struct TenantJson {
     name: String,
     #[serde(default)]
     quota_per_s: Option<f64>,
@@ -96,13 +96,13 @@
 
 #[derive(Deserialize, Default)]
 #[serde(rename_all = "camelCase", default)]
-struct FamilyInfo {
+struct FamilyInfoJson {
     passes_deadline: bool,
 }
 
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
-struct Caps {
+struct CapabilitiesJson {
     try_limit: u32,
     #[serde(default)]
     second_copies: bool,
@@ -116,17 +116,17 @@
     retry_after: bool,
     #[serde(default)]
     max_retry_after_s: f64,
-    #[serde(default = "fifteen")]
+    #[serde(default = "default_keepalive_s")]
     keepalive_s: f64,
-    #[serde(default = "many")]
+    #[serde(default = "default_multiplex")]
     multiplex: u32,
-    #[serde(default = "quarter")]
+    #[serde(default = "default_dial_timeout_s")]
     dial_timeout_s: f64,
 }
 
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
-struct RuleFigures {
+struct RulesJson {
     #[serde(default)]
     answer_slack_s: f64,
     #[serde(default)]
@@ -141,7 +141,7 @@
 
 #[derive(Deserialize, Default)]
 #[serde(rename_all = "camelCase", default)]
-struct PriceFigures {
+struct CostsJson {
     cross_zone: f64,
     waste: f64,
     late_fail: f64,
@@ -151,23 +151,23 @@
 
 #[derive(Deserialize, Default)]
 #[serde(rename_all = "camelCase", default)]
-struct LoadInfo {
+struct LoadInfoJson {
     fields: Vec<String>,
 }
 
-fn one() -> f64 {
+fn default_over_share_worth() -> f64 {
     1.0
 }
 
-fn fifteen() -> f64 {
+fn default_keepalive_s() -> f64 {
     15.0
 }
 
-fn quarter() -> f64 {
+fn default_dial_timeout_s() -> f64 {
     0.25
 }
 
-fn many() -> u32 {
+fn default_multiplex() -> u32 {
     100
 }
 
@@ -181,14 +181,14 @@
     /// The zones.
     pub zones: FxHashMap<String, usize>,
     /// The kinds of machine.
-    pub kinds: FxHashMap<String, usize>,
+    pub machine_types: FxHashMap<String, usize>,
     /// The values of a load report, in their order.
     pub load_fields: Vec<String>,
 }
 
 /// What the settings hold.
 #[derive(Debug)]
-pub struct Loaded {
+pub struct ParsedSettings {
     /// What the decisions go by.
     pub settings: Settings,
     /// The names behind the positions in it.
@@ -214,111 +214,111 @@
 ///
 /// # Errors
 /// The text is not JSON of the expected form, or a value makes no sense.
-pub fn read(json: &str) -> Result<Loaded, SetupError> {
-    let setup: Setup = serde_json::from_str(json)?;
-    let zones = positions("zones", setup.zones.iter())?;
-    let zone = *zones.get(&setup.zone).ok_or_else(|| wrong("zone", &setup.zone))?;
+pub fn parse_settings(text: &str) -> Result<ParsedSettings, SetupError> {
+    let json: SettingsJson = serde_json::from_str(text)?;
+    let zones = index_by_name("zones", json.zones.iter())?;
+    let zone = *zones.get(&json.zone).ok_or_else(|| invalid_value("zone", &json.zone))?;
     let names = Names {
-        classes: positions("lanes", setup.lanes.iter().map(|lane| &lane.name))?,
-        tenants: positions("projects", setup.projects.iter().map(|project| &project.name))?,
-        kinds: positions("kinds", setup.kinds.iter())?,
-        load_fields: setup.load_info.fields,
+        classes: index_by_name("lanes", json.lanes.iter().map(|class| &class.name))?,
+        tenants: index_by_name("projects", json.projects.iter().map(|tenant| &tenant.name))?,
+        machine_types: index_by_name("kinds", json.kinds.iter())?,
+        load_fields: json.load_info.fields,
         zones,
     };
     let settings = Settings {
-        replica_index: setup.me,
-        replica_count: setup.balancers,
-        tier: setup.tier,
+        replica_index: json.me,
+        replica_count: json.balancers,
+        tier: json.tier,
         zone: ZoneId(zone),
-        zone_count: setup.zones.len(),
-        machine_type_count: setup.kinds.len(),
-        classes: setup.lanes.iter().map(class).collect::<Result<_, _>>()?,
-        tenants: setup.projects.iter().map(|p| Tenant { quota: p.quota_per_s }).collect(),
-        over_quota_value: setup.over_share_worth,
-        discovery: match setup.discovery {
-            Discovery::Automatic => DiscoveryMode::Push,
-            Discovery::Subscribe => DiscoveryMode::Subscribe,
+        zone_count: json.zones.len(),
+        machine_type_count: json.kinds.len(),
+        classes: json.lanes.iter().map(parse_class).collect::<Result<_, _>>()?,
+        tenants: json.projects.iter().map(|tenant| Tenant { quota: tenant.quota_per_s }).collect(),
+        over_quota_value: json.over_share_worth,
+        discovery: match json.discovery {
+            DiscoveryJson::Automatic => DiscoveryMode::Push,
+            DiscoveryJson::Subscribe => DiscoveryMode::Subscribe,
         },
-        propagates_deadline: setup.family_info.passes_deadline,
+        propagates_deadline: json.family_info.passes_deadline,
         capabilities: Capabilities {
-            max_attempts: setup.caps.try_limit,
-            hedging: setup.caps.second_copies,
-            cancellation: setup.caps.cancel,
-            probes: setup.caps.may_probe,
-            peer_messages: setup.caps.may_tell,
-            keepalive_timeout: span("caps.keepaliveS", setup.caps.keepalive_s)?,
-            max_concurrent_streams: setup.caps.multiplex,
-            max_retry_after: if setup.caps.retry_after {
-                Some(span("caps.maxRetryAfterS", setup.caps.max_retry_after_s)?)
+            max_attempts: json.caps.try_limit,
+            hedging: json.caps.second_copies,
+            cancellation: json.caps.cancel,
+            probes: json.caps.may_probe,
+            peer_messages: json.caps.may_tell,
+            keepalive_timeout: parse_seconds("caps.keepaliveS", json.caps.keepalive_s)?,
+            max_concurrent_streams: json.caps.multiplex,
+            max_retry_after: if json.caps.retry_after {
+                Some(parse_seconds("caps.maxRetryAfterS", json.caps.max_retry_after_s)?)
             } else {
                 None
             },
         },
         rules: Rules {
-            deadline_grace: span("rules.answerSlackS", setup.rules.answer_slack_s)?,
-            drain_grace: span("rules.drainGraceS", setup.rules.drain_grace_s)?,
-            max_poll_interval: setup
+            deadline_grace: parse_seconds("rules.answerSlackS", json.rules.answer_slack_s)?,
+            drain_grace: parse_seconds("rules.drainGraceS", json.rules.drain_grace_s)?,
+            max_poll_interval: json
                 .rules
                 .ask_within_s
-                .map(|seconds| span("rules.askWithinS", seconds))
+                .map(|seconds| parse_seconds("rules.askWithinS", seconds))
                 .transpose()?,
-            slow_start_min_fraction: setup.rules.cold_share,
-            slow_start_duration: span("rules.coldS", setup.rules.cold_s)?,
-            overload_factor: setup.rules.fall_multiple,
-            overload_duration: span("rules.overloadForS", setup.rules.overload_for_s)?,
+            slow_start_min_fraction: json.rules.cold_share,
+            slow_start_duration: parse_seconds("rules.coldS", json.rules.cold_s)?,
+            overload_factor: json.rules.fall_multiple,
+            overload_duration: parse_seconds("rules.overloadForS", json.rules.overload_for_s)?,
         },
         costs: Costs {
-            cross_zone: setup.prices.cross_zone,
-            wasted_work: setup.prices.waste,
-            late_failure: setup.prices.late_fail,
-            handshake: setup.prices.handshake,
-            probe: setup.prices.probe,
+            cross_zone: json.prices.cross_zone,
+            wasted_work: json.prices.waste,
+            late_failure: json.prices.late_fail,
+            handshake: json.prices.handshake,
+            probe: json.prices.probe,
         },
     };
-    let connect_timeout = span("caps.dialTimeoutS", setup.caps.dial_timeout_s)?;
-    Ok(Loaded { settings, names, connect_timeout })
+    let connect_timeout = parse_seconds("caps.dialTimeoutS", json.caps.dial_timeout_s)?;
+    Ok(ParsedSettings { settings, names, connect_timeout })
 }
 
-fn class(lane: &Lane) -> Result<Class, SetupError> {
-    let effect = match lane.effect {
-        EffectName::Idempotent => Idempotency::Idempotent,
-        EffectName::AtMostOnce => Idempotency::NonIdempotent,
-        EffectName::Deduplicated => Idempotency::Deduplicated {
-            scope: match lane.dedup_scope.as_deref() {
+fn parse_class(class: &ClassJson) -> Result<Class, SetupError> {
+    let idempotency = match class.effect {
+        IdempotencyJson::Idempotent => Idempotency::Idempotent,
+        IdempotencyJson::AtMostOnce => Idempotency::NonIdempotent,
+        IdempotencyJson::Deduplicated => Idempotency::Deduplicated {
+            scope: match class.dedup_scope.as_deref() {
                 Some("all") => DedupScope::All,
                 Some("zone") => DedupScope::Zone,
                 Some("cell") => DedupScope::Cell,
-                other => return Err(wrong("dedupScope", other.unwrap_or("-"))),
+                other => return Err(invalid_value("dedupScope", other.unwrap_or("-"))),
             },
-            window: span("windowS", lane.window_s.unwrap_or(0.0))?,
+            window: parse_seconds("windowS", class.window_s.unwrap_or(0.0))?,
         },
     };
     Ok(Class {
-        latency_target: span("onTimeS", lane.on_time_s)?,
-        deadline: span("hardLimitS", lane.hard_limit_s)?,
-        late_value: lane.late_worth,
-        idempotency: effect,
+        latency_target: parse_seconds("onTimeS", class.on_time_s)?,
+        deadline: parse_seconds("hardLimitS", class.hard_limit_s)?,
+        late_value: class.late_worth,
+        idempotency,
     })
 }
 
-fn span(name: &str, seconds: f64) -> Result<Duration, SetupError> {
-    Duration::try_from_secs_f64(seconds).map_err(|_| wrong(name, &seconds.to_string()))
+fn parse_seconds(name: &str, seconds: f64) -> Result<Duration, SetupError> {
+    Duration::try_from_secs_f64(seconds).map_err(|_| invalid_value(name, &seconds.to_string()))
 }
 
-fn wrong(name: &str, value: &str) -> SetupError {
-    SetupError::Value { name: name.to_owned(), value: value.to_owned() }
+fn invalid_value(name: &str, value: &str) -> SetupError {
+    SetupError::InvalidValue { name: name.to_owned(), value: value.to_owned() }
 }
 
 /// The places of names. One that stands twice would leave the first place without requests.
-fn positions<'a>(
+fn index_by_name<'a>(
     list: &str,
     names: impl Iterator<Item = &'a String>,
 ) -> Result<FxHashMap<String, usize>, SetupError> {
-    let mut places = FxHashMap::default();
-    for (place, name) in names.enumerate() {
-        if places.insert(name.clone(), place).is_some() {
-            return Err(wrong(list, name));
+    let mut indices = FxHashMap::default();
+    for (index, name) in names.enumerate() {
+        if indices.insert(name.clone(), index).is_some() {
+            return Err(invalid_value(list, name));
         }
     }
-    Ok(places)
+    Ok(indices)
 }
--- a/simulator/src/wire.rs
+++ b/simulator/src/wire.rs
@@ -13,16 +13,16 @@
 pub enum Malformed {
     /// Bytes that are no text.
     #[error("not UTF-8 text")]
-    NotText,
+    NotUtf8,
     /// A line ends before this value.
     #[error("value {field} is missing")]
-    Missing {
+    MissingField {
         /// The value's name.
         field: &'static str,
     },
     /// A value of the wrong form.
     #[error("value {field} is malformed: {value:?}")]
-    Value {
+    InvalidField {
         /// The value's name.
         field: &'static str,
         /// What stands there, shortened.
@@ -30,7 +30,7 @@
     },
     /// A line goes on past its last value.
     #[error("more values than the message has")]
-    TooMany,
+    ExtraFields,
     /// A name that the wire does not have.
     #[error("unknown message {0:?}")]
     UnknownMessage(String),
@@ -39,22 +39,22 @@
     OutsideBatch(&'static str),
     /// No more input, yet the batch is open.
     #[error("the input ends within a batch")]
-    EndsWithin,
+    InputEndsInBatch,
     /// A batch earlier than the one before.
     #[error("the clock goes back")]
-    ClockBack,
+    ClockWentBack,
     /// An event for nobody.
     #[error("no TO line before the first event")]
-    NoInstance,
+    NoTargetInstance,
     /// An event before the instance has its settings.
     #[error("instance {0} has not started")]
-    NotStarted(u32),
+    InstanceNotStarted(u32),
     /// A list that was never defined.
     #[error("list {0} has not been sent")]
-    NoList(u32),
+    UnknownList(u32),
     /// A list cut off by another line.
     #[error("list {list} lacks {missing} of its entries")]
-    ShortList {
+    IncompleteList {
         /// The list's number.
         list: u32,
         /// How many entries are missing.
@@ -62,10 +62,10 @@
     },
     /// An entry with no list open.
     #[error("an entry outside a list")]
-    StrayEntry,
+    EntryOutsideList,
     /// The id of a request that is still held.
     #[error("request {0} was sent before")]
-    RequestAgain(String),
+    DuplicateRequest(String),
     /// The settings cannot be read.
     #[error("setup: {0}")]
     Setup(#[from] SetupError),
@@ -85,13 +85,13 @@
     }
 
     pub fn text(&mut self, field: &'static str) -> Result<&'a str, Malformed> {
-        let rest = self.rest.ok_or(Malformed::Missing { field })?;
+        let rest = self.rest.ok_or(Malformed::MissingField { field })?;
         let (value, rest) = match rest.split_once('\t') {
             Some((value, rest)) => (value, Some(rest)),
             None => (rest, None),
         };
         self.rest = rest;
-        if value.is_empty() { Err(Malformed::Missing { field }) } else { Ok(value) }
+        if value.is_empty() { Err(Malformed::MissingField { field }) } else { Ok(value) }
     }
 
     /// A value that `-` marks as absent.
@@ -101,46 +101,46 @@
 
     pub fn number<T: FromStr>(&mut self, field: &'static str) -> Result<T, Malformed> {
         let value = self.text(field)?;
-        value.parse().map_err(|_| bad(field, value))
+        value.parse().map_err(|_| invalid_field(field, value))
     }
 
     pub fn seconds(&mut self, field: &'static str) -> Result<Duration, Malformed> {
         let value = self.text(field)?;
-        seconds(value).ok_or_else(|| bad(field, value))
+        parse_seconds(value).ok_or_else(|| invalid_field(field, value))
     }
 
     pub fn optional_seconds(&mut self, field: &'static str) -> Result<Option<Duration>, Malformed> {
         let value = self.optional(field)?;
-        value.map(|value| seconds(value).ok_or_else(|| bad(field, value))).transpose()
+        value.map(|value| parse_seconds(value).ok_or_else(|| invalid_field(field, value))).transpose()
     }
 
     pub fn flag(&mut self, field: &'static str) -> Result<bool, Malformed> {
         match self.text(field)? {
             "1" => Ok(true),
             "0" => Ok(false),
-            value => Err(bad(field, value)),
+            value => Err(invalid_field(field, value)),
         }
     }
 
     /// Text to the end of the line.
     pub fn remainder(&mut self, field: &'static str) -> Result<&'a str, Malformed> {
-        self.rest.take().ok_or(Malformed::Missing { field })
+        self.rest.take().ok_or(Malformed::MissingField { field })
     }
 
-    pub fn end(&self) -> Result<(), Malformed> {
-        if self.rest.is_some() { Err(Malformed::TooMany) } else { Ok(()) }
+    pub fn expect_end(&self) -> Result<(), Malformed> {
+        if self.rest.is_some() { Err(Malformed::ExtraFields) } else { Ok(()) }
     }
 }
 
-pub fn bad(field: &'static str, value: &str) -> Malformed {
-    Malformed::Value { field, value: value.chars().take(80).collect() }
+pub fn invalid_field(field: &'static str, value: &str) -> Malformed {
+    Malformed::InvalidField { field, value: value.chars().take(80).collect() }
 }
 
-fn seconds(value: &str) -> Option<Duration> {
+fn parse_seconds(value: &str) -> Option<Duration> {
     Duration::try_from_secs_f64(value.parse().ok()?).ok()
 }
 
-pub fn outcome(value: &str) -> Result<Outcome, Malformed> {
+pub fn parse_outcome(value: &str) -> Result<Outcome, Malformed> {
     Ok(match value {
         "GOOD" => Outcome::Good,
         "BAD" => Outcome::Error,
@@ -150,21 +150,21 @@
         "RST" => Outcome::Reset,
         "CXL" => Outcome::Withdrawn,
         "NOP" => Outcome::NotSent,
-        _ => return Err(bad("outcome", value)),
+        _ => return Err(invalid_field("outcome", value)),
     })
 }
 
-pub fn phase(value: &str) -> Result<Phase, Malformed> {
+pub fn parse_phase(value: &str) -> Result<Phase, Malformed> {
     Ok(match value {
         "Ready" => Phase::Ready,
         "Terminating" => Phase::Draining,
         "Gone" => Phase::Gone,
-        _ => return Err(bad("phase", value)),
+        _ => return Err(invalid_field("phase", value)),
     })
 }
 
 /// A message's bytes from hex digits, `-` for none.
-pub fn bytes(value: &str) -> Result<Vec<u8>, Malformed> {
+pub fn parse_hex(value: &str) -> Result<Vec<u8>, Malformed> {
     if value == "-" {
         return Ok(Vec::new());
     }
@@ -177,5 +177,5 @@
             _ => None,
         })
         .collect::<Option<_>>()
-        .ok_or_else(|| bad("content", value))
+        .ok_or_else(|| invalid_field("content", value))
 }
