--- a/examples/embed.rs
+++ b/examples/embed.rs
@@ -1,8 +1,9 @@
-//! A copy from its start to its end, with a made-up clock: list, requests, outcomes, wake-ups.
+//! Runs one replica of the balancer with a simulated clock: upstream list, requests, outcomes and timers.
 //!
-//! The embedding program must deliver each wake-up that was asked for, report every outcome once, and keep
-//! its clock from going back. A wake-up lost leaves the copy without sweeps, so that limits and lists stand
-//! still; an outcome lost leaves a call in flight for good; a second one is passed over.
+//! The embedding program must fire each timer that the balancer sets, report the outcome of every attempt
+//! once, and never let its clock go back. Without its timer the replica makes no periodic updates, so its
+//! limits and its list are no longer updated. An attempt whose outcome is not reported stays in flight
+//! forever; a second outcome of the same attempt is ignored.
 
 use std::time::Duration;
 
@@ -31,12 +32,12 @@
     });
     balancer.handle(now, Event::Discovery(DiscoveryUpdate::Full(members.collect())), &mut actions);
 
-    let mut timer_at = carry_out(now, &mut actions).expect("a start asks for the first wake-up");
+    let mut timer_at = carry_out(now, &mut actions).expect("the start sets the first timer");
     for number in 0..20 {
         now += Duration::from_millis(50);
         if now >= timer_at {
             balancer.handle(now, Event::TimerFired, &mut actions);
-            timer_at = carry_out(now, &mut actions).expect("each wake-up asks for the next");
+            timer_at = carry_out(now, &mut actions).expect("each periodic update sets the next timer");
         }
         let id = RequestId(number);
         let request = Request {
@@ -52,7 +53,7 @@
         let was_sent = actions.iter().any(|action| matches!(action, Action::Send { .. }));
         carry_out(now, &mut actions);
         if was_sent {
-            // The upstream answers at once; the answer ends the request.
+            // The upstream answers, which ends the request. A real program reports this when the answer arrives.
             let attempt_ended = Event::AttemptEnded(AttemptEnded {
                 request: id,
                 attempt: AttemptNumber(0),
@@ -64,11 +65,11 @@
             balancer.handle(now + Duration::from_millis(20), attempt_ended, &mut actions);
         }
     }
-    // A copy is shut down by dropping it, once nothing it holds is owed an answer.
+    // To shut a replica down, drop its balancer once all requests have been answered.
     Ok(())
 }
 
-/// Prints what a program would do, and tells when the next wake-up is due, if one was asked for.
+/// Prints the actions that a real program would carry out. Returns when the timer is due, if it was set.
 fn carry_out(now: Duration, actions: &mut Vec<Action>) -> Option<Duration> {
     let mut timer_at = None;
     for action in actions.drain(..) {
--- a/proxy/tests/clients.rs
+++ b/proxy/tests/clients.rs
@@ -571,8 +571,11 @@
             "number of replicas is 0",
         ),
         (sound.replace("\"onTimeS\":1.0", "\"onTimeS\":100.0"), "class 0"),
-        (sound.replace("\"pay\"", "\"read\""), "lanes makes no sense: \"read\""),
-        (sound.replace("\"zones\":[\"north\"]", "\"zones\":[\"south\"]"), "zone makes no sense: \"north\""),
+        (sound.replace("\"pay\"", "\"read\""), "invalid value for lanes: \"read\""),
+        (
+            sound.replace("\"zones\":[\"north\"]", "\"zones\":[\"south\"]"),
+            "invalid value for zone: \"north\"",
+        ),
     ] {
         assert_ne!(text, sound);
         let child = program(&text);
--- a/proxy/tests/reload.rs
+++ b/proxy/tests/reload.rs
@@ -182,7 +182,7 @@
         (vec![0xff, 0xfe], "cannot read"),
         (with(|text| text["settings"]["balancers"] = json!(0)), "number of replicas is 0"),
         (with(|text| text["settings"]["lanes"] = json!([])), "no class"),
-        (with(|text| text["settings"]["zone"] = json!("west")), "zone makes no sense"),
+        (with(|text| text["settings"]["zone"] = json!("west")), "invalid value for zone"),
     ];
     for (bytes, reason) in files {
         let line = program.reload(&bytes);
--- a/simulator/src/host.rs
+++ b/simulator/src/host.rs
@@ -1,4 +1,4 @@
-//! The instances of a process: hands each its events and writes down its actions.
+//! Hosts the balancer instances of a process: passes each its events and writes its actions to the output.
 
 use std::io::{self, BufRead, Write};
 use std::str::from_utf8;
@@ -15,45 +15,51 @@
 use crate::setup::{self, Names, ParsedSettings};
 use crate::wire::{self, Fields, Malformed, invalid_field};
 
-/// Why the adapter stops early.
+/// Why the adapter stops before the end of its input.
 #[derive(Debug, Error)]
 pub enum HostError {
-    /// A line makes no sense.
+    /// A line of the input is invalid.
     #[error("line {line}: {cause}")]
     Line {
-        /// Its number, from 1.
+        /// The line's number, counted from 1.
         line: u64,
         /// What is wrong with it.
         cause: Malformed,
     },
-    /// The pipe broke.
+    /// The input cannot be read or the output cannot be written.
     #[error("reading or writing failed: {0}")]
     Io(#[from] io::Error),
 }
 
-/// An entry of a list before an instance's names are applied to it.
+/// An entry of a list of upstreams. Its zone and machine type are kept as names, because instances that
+/// share the list may give them different indices.
 struct ListEntry {
     zone: String,
     machine_type: String,
     member: Member,
 }
 
+/// A balancer instance with the requests that it has not finished.
 struct Instance {
     balancer: Balancer,
     names: Names,
+    /// The ids of the tracked requests by their id on the wire.
     ids_by_ticket: FxHashMap<Box<str>, RequestId>,
     tracked_requests: FxHashMap<RequestId, TrackedRequest>,
     next_request_id: u64,
 }
 
-/// A request's id on the wire, kept until nothing can name it any more.
+/// A request that later messages or actions may still refer to.
 struct TrackedRequest {
+    /// Its id on the wire.
     ticket: Box<str>,
     attempts_in_flight: u32,
+    /// Whether it has ended for the client.
     ended: bool,
 }
 
 impl Instance {
+    /// Stops tracking a request that has ended and has no attempts in flight.
     fn remove_if_ended(&mut self, id: RequestId) {
         if let Some(tracked) = self.tracked_requests.get(&id)
             && tracked.ended
@@ -65,22 +71,29 @@
     }
 }
 
-/// All instances of the process and the lists they share.
+/// All balancer instances of the process and the lists of upstreams that they share.
 #[derive(Default)]
 pub struct Host {
-    /// `None` for an instance that was killed.
+    /// The instances by number; `None` for an instance that has been destroyed.
     instances: FxHashMap<u32, Option<Instance>>,
+    /// The lists of upstreams by number.
     lists: FxHashMap<u32, Vec<ListEntry>>,
+    /// The list that was sent last, and the number of its entries that have not arrived yet.
     unfinished_list: Option<(u32, usize)>,
+    /// The time of the latest batch.
     now: Duration,
+    /// The number of the batch being read.
     current_batch: Option<String>,
+    /// The instance that the events are for.
     target_instance: Option<u32>,
+    /// The instance that the latest output of this batch belongs to.
     last_output_instance: Option<u32>,
+    /// The actions that the present event has caused.
     actions: Vec<Action>,
 }
 
 impl Host {
-    /// Serves batches until the input ends.
+    /// Processes batches until the input ends.
     pub fn run(&mut self, mut input: impl BufRead, mut output: impl Write) -> Result<(), HostError> {
         let mut text = Vec::new();
         let mut line = 0;
@@ -156,7 +169,7 @@
 
     fn start_batch(&mut self, mut fields: Fields) -> Result<(), Malformed> {
         if self.current_batch.is_some() {
-            return Err(Malformed::OutsideBatch("TURN stands within a batch, not"));
+            return Err(Malformed::OutsideBatch("a TURN line must be"));
         }
         let now = fields.seconds("clock")?;
         let batch = fields.text("batch")?;
@@ -225,7 +238,7 @@
             *instance = None;
             return fields.expect_end();
         }
-        // Nothing is owed to a killed instance: what still comes for it is checked and dropped.
+        // Events for a destroyed instance are still valid input, but are dropped.
         let Some(instance) = instance else { return check_message_name(name) };
         let event = match name {
             "PEERS_KNOWN" => Some(parse_list_update(&self.lists, &instance.names, &mut fields)?),
@@ -273,7 +286,7 @@
             };
             instance.balancer.handle(self.now, event, &mut self.actions);
             track_actions(instance, &self.actions);
-            // Released after the actions are written, which may still name it.
+            // Actions may still refer to the request, in which case it is removed after they are written.
             if let Some(id) = ended_request
                 && self.actions.is_empty()
             {
@@ -318,9 +331,13 @@
     }
 }
 
+/// The effect of a valid line of input.
 enum LineResult {
+    /// The line needs nothing further.
     Done,
+    /// A batch has ended, so the output must be flushed.
     BatchEnded,
+    /// Writing the output has failed.
     OutputFailed(io::Error),
 }
 
@@ -330,6 +347,7 @@
     }
 }
 
+/// Checks that the protocol has an event of this name.
 fn check_message_name(name: &str) -> Result<(), Malformed> {
     const EVENTS: [&str; 9] = [
         "PEERS_KNOWN",
@@ -442,7 +460,7 @@
     Ok(Some(report))
 }
 
-/// The request that an action ends or names.
+/// The request that an action refers to.
 fn request_of(action: &Action) -> Option<RequestId> {
     match *action {
         Action::Send { request, .. }
@@ -458,7 +476,7 @@
     }
 }
 
-/// Keeps the tickets in step with what the balancer has asked for.
+/// Records the sends and ends of requests that the balancer has asked for.
 fn track_actions(instance: &mut Instance, actions: &[Action]) {
     for action in actions {
         let Some(tracked) = request_of(action).and_then(|id| instance.tracked_requests.get_mut(&id)) else {
@@ -487,12 +505,12 @@
         }
         Action::Fail { .. } => writeln!(output, "ABORT\t{ticket}"),
         Action::SubscribeToDiscovery => writeln!(output, "OBSERVE\t1"),
-        // Whose connection is up the simulator does not say; it ends the others by itself.
+        // The simulator does not report when connections open, and ends pending ones by itself.
         Action::AbortPendingConnects { .. } => Ok(()),
         Action::Probe { upstream } => writeln!(output, "POLL\t{}", upstream.0),
         Action::CloseIdleConnections { upstream } => writeln!(output, "DROP_CONNS\t{}", upstream.0),
         Action::SetTimer(duration) => writeln!(output, "AFTER\t{:.6}\tsweep", duration.as_secs_f64()),
-        // Each line would be paid for by the copies that the wire measures.
+        // Every line counts in what the simulator measures of an instance, so reports are not written.
         Action::Report(_) => Ok(()),
     }
 }
--- a/simulator/src/lib.rs
+++ b/simulator/src/lib.rs
@@ -1,5 +1,5 @@
-//! The simulator's side of the decision library: the settings object, which the real balancer reads as
-//! well, and the host of the line protocol.
+//! The adapter between the simulator and the decision library: it hosts balancer instances on the
+//! simulator's line protocol and parses the settings object, which the real balancer reads as well.
 
 mod host;
 pub mod setup;
--- a/simulator/src/main.rs
+++ b/simulator/src/main.rs
@@ -1,5 +1,5 @@
-//! Hosts the decision library's balancers on the bench's line protocol: events on standard input,
-//! actions on standard output. It translates and decides nothing.
+//! Hosts the decision library's balancers on the simulator's line protocol: reads events from standard
+//! input and writes actions to standard output. It only translates and makes no decisions.
 
 use std::io::{self, BufReader, BufWriter};
 use std::process::ExitCode;
--- a/simulator/src/setup.rs
+++ b/simulator/src/setup.rs
@@ -1,7 +1,7 @@
-//! The settings of an instance: from JSON to the library's terms.
+//! Parses the settings of a balancer instance from JSON into the [`Settings`] of the decision library.
 //!
-//! The simulator's first message and a real balancer's configuration hold the same object; both
-//! programs read it here.
+//! The first message of the simulator and the configuration of a real balancer contain the same object, so
+//! both programs use this module.
 
 use std::time::Duration;
 
@@ -16,19 +16,21 @@
 /// Why the settings cannot be used.
 #[derive(Debug, Error)]
 pub enum SetupError {
-    /// Not the JSON that settings are written in.
+    /// The text is not JSON of the expected structure.
     #[error("{0}")]
     Json(#[from] serde_json::Error),
-    /// A value that makes no sense.
-    #[error("{name} makes no sense: {value:?}")]
+    /// A value is invalid: a duration out of range, an unknown name, or a name listed twice.
+    #[error("invalid value for {name}: {value:?}")]
     InvalidValue {
-        /// Where it stands.
+        /// The key of the value.
         name: String,
-        /// What stands there.
+        /// The value or name that is invalid.
         value: String,
     },
 }
 
+/// The settings object as written in JSON. The field names of this and the following structs are the JSON
+/// keys; [`parse_settings`] maps them to the terms of the decision library.
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
 struct SettingsJson {
@@ -56,6 +58,7 @@
     load_info: LoadInfoJson,
 }
 
+/// A class of requests, an element of `lanes`.
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
 struct ClassJson {
@@ -71,6 +74,7 @@
     window_s: Option<f64>,
 }
 
+/// Whether requests of a class may be executed more than once.
 #[derive(Deserialize)]
 #[serde(rename_all = "snake_case")]
 enum IdempotencyJson {
@@ -79,6 +83,7 @@
     AtMostOnce,
 }
 
+/// How lists of upstreams arrive: pushed (`automatic`) or by subscription.
 #[derive(Deserialize)]
 #[serde(rename_all = "lowercase")]
 enum DiscoveryJson {
@@ -86,6 +91,7 @@
     Subscribe,
 }
 
+/// A tenant, an element of `projects`.
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
 struct TenantJson {
@@ -94,12 +100,14 @@
     quota_per_s: Option<f64>,
 }
 
+/// What calls from tier to tier carry.
 #[derive(Deserialize, Default)]
 #[serde(rename_all = "camelCase", default)]
 struct FamilyInfoJson {
     passes_deadline: bool,
 }
 
+/// What the site supports and permits.
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
 struct CapabilitiesJson {
@@ -124,6 +132,7 @@
     dial_timeout_s: f64,
 }
 
+/// Parameters of the rules that the site enforces.
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
 struct RulesJson {
@@ -139,6 +148,7 @@
     overload_for_s: f64,
 }
 
+/// Costs to weigh when choosing an upstream.
 #[derive(Deserialize, Default)]
 #[serde(rename_all = "camelCase", default)]
 struct CostsJson {
@@ -149,6 +159,7 @@
     probe: f64,
 }
 
+/// What load reports contain.
 #[derive(Deserialize, Default)]
 #[serde(rename_all = "camelCase", default)]
 struct LoadInfoJson {
@@ -171,33 +182,33 @@
     100
 }
 
-/// Names in the settings and their positions there.
+/// The names used in the settings, with their indices there.
 #[derive(Debug)]
 pub struct Names {
-    /// The classes.
+    /// The index of each class in [`Settings::classes`].
     pub classes: FxHashMap<String, usize>,
-    /// The tenants.
+    /// The index of each tenant in [`Settings::tenants`].
     pub tenants: FxHashMap<String, usize>,
-    /// The zones.
+    /// The index of each zone.
     pub zones: FxHashMap<String, usize>,
-    /// The kinds of machine.
+    /// The index of each machine type.
     pub machine_types: FxHashMap<String, usize>,
-    /// The values of a load report, in their order.
+    /// The names of the values of a load report, in the order in which they are sent.
     pub load_fields: Vec<String>,
 }
 
-/// What the settings hold.
+/// The content of a settings object.
 #[derive(Debug)]
 pub struct ParsedSettings {
-    /// What the decisions go by.
+    /// The settings of the decision library.
     pub settings: Settings,
-    /// The names behind the positions in it.
+    /// The names behind the indices in `settings`.
     pub names: Names,
-    /// How long a connection may take to come up.
+    /// The maximum time for opening a connection.
     pub connect_timeout: Duration,
 }
 
-/// Sets the value that the settings call `name` in a load report; other names are passed over.
+/// Sets the field of a load report that the settings call `name`; unknown names are ignored.
 pub fn set_load_field(report: &mut LoadReport, name: &str, value: f64) {
     match name {
         "active" => report.active_requests = Some(value),
@@ -210,10 +221,10 @@
     }
 }
 
-/// Reads the settings.
+/// Parses a settings object.
 ///
 /// # Errors
-/// The text is not JSON of the expected form, or a value makes no sense.
+/// The text is not JSON of the expected structure, or a value is invalid.
 pub fn parse_settings(text: &str) -> Result<ParsedSettings, SetupError> {
     let json: SettingsJson = serde_json::from_str(text)?;
     let zones = index_by_name("zones", json.zones.iter())?;
@@ -309,7 +320,8 @@
     SetupError::InvalidValue { name: name.to_owned(), value: value.to_owned() }
 }
 
-/// The places of names. One that stands twice would leave the first place without requests.
+/// Maps each name to its index in the list. A duplicate is an error: the entry at its first index would never
+/// be used.
 fn index_by_name<'a>(
     list: &str,
     names: impl Iterator<Item = &'a String>,
--- a/simulator/src/wire.rs
+++ b/simulator/src/wire.rs
@@ -1,4 +1,4 @@
-//! The values of the wire: fields of a line and the words for outcomes and phases.
+//! Parses the values of the line protocol: the fields of a line, outcomes, phases and message bytes.
 
 use std::str::FromStr;
 use std::time::Duration;
@@ -8,73 +8,73 @@
 
 use crate::setup::SetupError;
 
-/// What is wrong with a line.
+/// Why a line of input cannot be accepted.
 #[derive(Debug, Error)]
 pub enum Malformed {
-    /// Bytes that are no text.
+    /// The line is not valid UTF-8.
     #[error("not UTF-8 text")]
     NotUtf8,
-    /// A line ends before this value.
+    /// The line ends before this field, or the field is empty.
     #[error("value {field} is missing")]
     MissingField {
-        /// The value's name.
+        /// The field's name.
         field: &'static str,
     },
-    /// A value of the wrong form.
+    /// A field does not have the expected format or is not a known name.
     #[error("value {field} is malformed: {value:?}")]
     InvalidField {
-        /// The value's name.
+        /// The field's name.
         field: &'static str,
-        /// What stands there, shortened.
+        /// The field's content, truncated.
         value: String,
     },
-    /// A line goes on past its last value.
+    /// The line has more fields than its message.
     #[error("more values than the message has")]
     ExtraFields,
-    /// A name that the wire does not have.
+    /// The protocol has no message of this name.
     #[error("unknown message {0:?}")]
     UnknownMessage(String),
-    /// A line where none may stand.
+    /// A line that must be in a batch is outside, or the reverse; holds the start of the error text.
     #[error("{0} outside a batch")]
     OutsideBatch(&'static str),
-    /// No more input, yet the batch is open.
+    /// The input has ended before the end of a batch.
     #[error("the input ends within a batch")]
     InputEndsInBatch,
-    /// A batch earlier than the one before.
+    /// A batch has an earlier time than the previous one.
     #[error("the clock goes back")]
     ClockWentBack,
-    /// An event for nobody.
+    /// An event has arrived before any `TO` line has selected its instance.
     #[error("no TO line before the first event")]
     NoTargetInstance,
-    /// An event before the instance has its settings.
+    /// An event is for an instance that has not received a `START` message.
     #[error("instance {0} has not started")]
     InstanceNotStarted(u32),
-    /// A list that was never defined.
+    /// An update refers to a list that has not been sent.
     #[error("list {0} has not been sent")]
     UnknownList(u32),
-    /// A list cut off by another line.
+    /// Another message has interrupted the entries of a list.
     #[error("list {list} lacks {missing} of its entries")]
     IncompleteList {
         /// The list's number.
         list: u32,
-        /// How many entries are missing.
+        /// The number of entries that are missing.
         missing: usize,
     },
-    /// An entry with no list open.
+    /// An entry has arrived although no list expects one.
     #[error("an entry outside a list")]
     EntryOutsideList,
-    /// The id of a request that is still held.
-    #[error("request {0} was sent before")]
+    /// A new request has the id of one that has not ended or still has attempts in flight.
+    #[error("the id of request {0} is still in use")]
     DuplicateRequest(String),
-    /// The settings cannot be read.
+    /// The settings cannot be parsed.
     #[error("setup: {0}")]
     Setup(#[from] SetupError),
-    /// The decisions cannot work with the settings.
+    /// The balancer rejects the settings.
     #[error("setup: {0}")]
     Settings(#[from] SettingsError),
 }
 
-/// The values of a line, taken from left to right.
+/// The tab-separated fields of a line, parsed from left to right.
 pub struct Fields<'a> {
     rest: Option<&'a str>,
 }
@@ -84,6 +84,7 @@
         Self { rest }
     }
 
+    /// Takes the next field, which must not be empty.
     pub fn text(&mut self, field: &'static str) -> Result<&'a str, Malformed> {
         let rest = self.rest.ok_or(Malformed::MissingField { field })?;
         let (value, rest) = match rest.split_once('\t') {
@@ -94,7 +95,7 @@
         if value.is_empty() { Err(Malformed::MissingField { field }) } else { Ok(value) }
     }
 
-    /// A value that `-` marks as absent.
+    /// Parses a field that may be absent, which is written as `-`.
     pub fn optional(&mut self, field: &'static str) -> Result<Option<&'a str>, Malformed> {
         Ok(Some(self.text(field)?).filter(|&value| value != "-"))
     }
@@ -122,11 +123,12 @@
         }
     }
 
-    /// Text to the end of the line.
+    /// Takes the rest of the line as one field.
     pub fn remainder(&mut self, field: &'static str) -> Result<&'a str, Malformed> {
         self.rest.take().ok_or(Malformed::MissingField { field })
     }
 
+    /// Checks that no field is left.
     pub fn expect_end(&self) -> Result<(), Malformed> {
         if self.rest.is_some() { Err(Malformed::ExtraFields) } else { Ok(()) }
     }
@@ -163,7 +165,7 @@
     })
 }
 
-/// A message's bytes from hex digits, `-` for none.
+/// Parses the bytes of a peer message from hexadecimal digits; `-` stands for an empty message.
 pub fn parse_hex(value: &str) -> Result<Vec<u8>, Malformed> {
     if value == "-" {
         return Ok(Vec::new());
--- a/simulator/tests/transcripts.rs
+++ b/simulator/tests/transcripts.rs
@@ -1,9 +1,10 @@
-//! The adapter as a process: what it writes for what it reads.
+//! Runs the adapter as a process and checks what it writes for given input.
 
 use std::collections::BTreeMap;
 use std::io::Write;
 use std::process::{Command, Stdio};
 
+/// What a run of the adapter has written and whether it has succeeded.
 struct AdapterRun {
     stdout: String,
     stderr: String,
@@ -17,11 +18,11 @@
         .stderr(Stdio::piped())
         .spawn()
         .expect("the adapter starts");
-    // It may stop reading early, at a malformed line.
+    // The adapter stops reading at a malformed line, so writing may fail.
     let mut stdin = child.stdin.take().expect("piped");
     let input = input.to_vec();
     let writer = std::thread::spawn(move || drop(stdin.write_all(&input)));
-    let result = child.wait_with_output().expect("the adapter ends");
+    let result = child.wait_with_output().expect("the adapter exits");
     writer.join().expect("the input is written");
     AdapterRun {
         stdout: String::from_utf8(result.stdout).expect("text"),
@@ -30,6 +31,7 @@
     }
 }
 
+/// The settings of a replica, with a key that the adapter does not know.
 fn settings_json(replica_index: u32) -> String {
     format!(
         r#"{{"balancers":3,"me":{replica_index},"tier":0,"zone":"north","zones":["north","south"],"future":{{"a":[1]}},
@@ -45,11 +47,13 @@
     .replace('\n', "")
 }
 
+/// A list of two ready upstreams in different zones.
 const MEMBER_LIST: &str =
     "INVENTORY\t0\t2\nM\t71\tnorth\tstd\t1\tReady\t1\t-\nM\t72\tsouth\tstd\t2\tReady\t1\t-\n";
+/// A request of a non-idempotent class.
 const REQUEST: &str = "ASK\treq-1\torder\tacme\t-\t2.5\t-\t0\n";
 
-/// The first batch: an instance with a list of two.
+/// The first batch: starts an instance with a list of two upstreams.
 fn first_batch() -> String {
     let settings_json = settings_json(0);
     format!(
@@ -99,7 +103,8 @@
     assert!(stdout.contains("DENY\treq-1\t1.000000\n"), "{stdout}");
 }
 
-/// Restarts within a batch, reused lists, late ids, every kind of event and list.
+/// Guards against rejecting valid input: restarts within a batch, reused list numbers, ids of requests that have
+/// ended, and every kind of event and list update.
 #[test]
 fn unusual_but_valid_batches_are_accepted() {
     let settings_json = settings_json(1);
@@ -117,11 +122,15 @@
     let result = run_adapter(input.as_bytes());
     assert!(result.success, "{}", result.stderr);
     assert!(result.stdout.contains("CALL_OUT\treq-3"), "{}", result.stdout);
-    assert!(!result.stdout.contains("req-2"), "it was killed before: {}", result.stdout);
+    assert!(
+        !result.stdout.contains("req-2"),
+        "req-2 came after its instance was destroyed: {}",
+        result.stdout
+    );
     assert!(result.stdout.contains("WITHDRAW\treq-1\t0"), "{}", result.stdout);
 }
 
-/// A drained upstream is passed over from the event that told of it on.
+/// Guards against sends to an upstream after the event that reports its drain, within the same batch.
 #[test]
 fn a_drain_applies_to_the_requests_after_it_in_the_same_batch() {
     let mut input =
@@ -134,7 +143,7 @@
     assert!(stdout.contains("\t72\t") && !stdout.contains("\t71\t"), "{stdout}");
 }
 
-/// Deals instances out among processes; what each instance does must not change.
+/// Guards against state shared between instances: their actions must not depend on which process hosts them.
 #[test]
 fn one_process_and_three_give_the_same_actions() {
     let input_for = |is_assigned: &dyn Fn(u32) -> bool| {
@@ -191,7 +200,10 @@
     let three_processes: Vec<String> =
         (0..3).map(|remainder| run_instances(&move |instance| instance % 3 == remainder)).collect();
     assert_eq!(one_process.len(), 6);
-    assert!(one_process.values().all(|actions| actions.len() > 100), "they have acted");
+    assert!(
+        one_process.values().all(|actions| actions.len() > 100),
+        "each instance has written more than 100 actions"
+    );
     assert_eq!(one_process, group_by_instance(&three_processes));
 }
 
@@ -232,7 +244,7 @@
     ];
     for ((input, line), message) in cases {
         let result = run_adapter(&input);
-        assert!(!result.success, "{message}: it went on");
+        assert!(!result.success, "{message}: the input was accepted");
         assert_eq!(result.stderr.lines().count(), 1, "{}", result.stderr);
         assert!(result.stderr.contains(&format!("line {line}: ")), "{message}: {}", result.stderr);
         assert!(result.stderr.contains(message), "{message}: {}", result.stderr);
@@ -243,10 +255,10 @@
 fn invalid_settings_are_reported_by_name() {
     for (original, replacement, message) in [
         ("\"balancers\":3", "\"balancers\":0", "the number of replicas is 0"),
-        ("\"zone\":\"north\"", "\"zone\":\"west\"", "zone makes no sense: \"west\""),
+        ("\"zone\":\"north\"", "\"zone\":\"west\"", "invalid value for zone: \"west\""),
         ("\"onTimeS\":1", "\"onTimeS\":9", "class 0"),
-        ("\"onTimeS\":1", "\"onTimeS\":-1", "onTimeS makes no sense"),
-        ("\"cell\"", "\"street\"", "dedupScope makes no sense"),
+        ("\"onTimeS\":1", "\"onTimeS\":-1", "invalid value for onTimeS"),
+        ("\"cell\"", "\"street\"", "invalid value for dedupScope"),
         ("\"coldShare\":0.2", "\"coldShare\":0", "slow start minimum fraction is out of range"),
     ] {
         let result = run_adapter(first_batch().replace(original, replacement).as_bytes());
@@ -255,7 +267,8 @@
     }
 }
 
-/// Lines damaged in every way that a fixed seed brings: an error with its line or a good end, never a panic.
+/// Guards against panics on damaged input, which is drawn from a fixed seed: it must be accepted or reported with a
+/// line number.
 #[test]
 fn damaged_input_is_accepted_or_reported_without_a_panic() {
     let valid_input =
