--- a/examples/embed.rs
+++ b/examples/embed.rs
@@ -53,7 +53,7 @@
         let was_sent = actions.iter().any(|action| matches!(action, Action::Send { .. }));
         carry_out(now, &mut actions);
         if was_sent {
-            // The upstream answers, which ends the request. A real program reports this when the answer arrives.
+            // The upstream's answer ends the request; a real program reports it when it arrives.
             let attempt_ended = Event::AttemptEnded(AttemptEnded {
                 request: id,
                 attempt: AttemptNumber(0),
--- a/simulator/tests/transcripts.rs
+++ b/simulator/tests/transcripts.rs
@@ -103,8 +103,8 @@
     assert!(stdout.contains("DENY\treq-1\t1.000000\n"), "{stdout}");
 }
 
-/// Guards against rejecting valid input: restarts within a batch, reused list numbers, ids of requests that have
-/// ended, and every kind of event and list update.
+/// Guards against rejecting valid input: restarts within a batch, reused list numbers, ids of requests that
+/// have ended, and every kind of event and list update.
 #[test]
 fn unusual_but_valid_batches_are_accepted() {
     let settings_json = settings_json(1);
@@ -267,8 +267,8 @@
     }
 }
 
-/// Guards against panics on damaged input, which is drawn from a fixed seed: it must be accepted or reported with a
-/// line number.
+/// Guards against panics on damaged input, which is drawn from a fixed seed: it must be accepted or reported
+/// with a line number.
 #[test]
 fn damaged_input_is_accepted_or_reported_without_a_panic() {
     let valid_input =
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,22 +1,24 @@
-//! A small world for the tests: upstreams that answer as told, a clock that the test moves.
-#![allow(dead_code, reason = "each test file uses a part of it")]
+//! A test harness for a balancer, with a simulated clock and simulated upstreams.
+#![allow(dead_code, reason = "no test file uses all of the harness")]
 
 use std::time::Duration;
 
 use stilelead_decision::interface::*;
 use stilelead_decision::{Action, Balancer, Event, Settings};
 
-/// Where the test clocks start; any time will do.
+/// The time at which the simulated clocks start; its value does not matter.
 pub const START: Duration = Duration::from_secs(1000);
 
 pub fn millis(ms: u64) -> Duration {
     Duration::from_millis(ms)
 }
 
+/// A class with a latency target of 1 s and a deadline of 3 s.
 pub fn class(idempotency: Idempotency) -> Class {
     Class { latency_target: millis(1000), deadline: millis(3000), late_value: 0.0, idempotency }
 }
 
+/// A ready upstream in the first zone.
 pub fn member(id: u32) -> Member {
     Member {
         id: UpstreamId(id),
@@ -29,7 +31,7 @@
     }
 }
 
-/// A balancer with its clock.
+/// A balancer with a simulated clock, whose timer is delivered as the clock advances.
 pub struct Harness {
     pub balancer: Balancer,
     pub now: Duration,
@@ -38,20 +40,21 @@
 }
 
 impl Harness {
+    /// A started balancer that has received its first list.
     pub fn new(settings: Settings, seed: u64, members: Vec<Member>) -> Self {
-        let balancer = Balancer::new(settings, seed).expect("the settings make sense");
+        let balancer = Balancer::new(settings, seed).expect("the settings are valid");
         let mut harness = Self::not_started(balancer);
         harness.handle(Event::Started);
         harness.handle(Event::Discovery(DiscoveryUpdate::Full(members)));
         harness
     }
 
-    /// One that has not been told anything yet.
+    /// A balancer that has not received any events.
     pub fn not_started(balancer: Balancer) -> Self {
         Self { balancer, now: START, next_request_id: 0, next_timer_at: START }
     }
 
-    /// What is asked for; reports for the operator ask for nothing.
+    /// Passes an event to the balancer and returns its actions, without reports to the operator.
     pub fn handle(&mut self, event: Event) -> Vec<Action> {
         let mut actions = Vec::new();
         self.balancer.handle(self.now, event, &mut actions);
@@ -59,7 +62,7 @@
         actions
     }
 
-    /// Moves the clock, with the sweeps that fall due.
+    /// Advances the clock and delivers the timers that are due by then.
     pub fn advance(&mut self, duration: Duration) {
         let end = self.now + duration;
         while self.next_timer_at <= end {
@@ -69,17 +72,17 @@
                 Action::SetTimer(delay) => Some(*delay),
                 _ => None,
             });
-            self.next_timer_at = self.now + delay.expect("a sweep asks for the next");
+            self.next_timer_at = self.now + delay.expect("each periodic update sets the next timer");
         }
         self.now = end;
     }
 
-    /// Offers a request of the first class and tells what is done about it.
+    /// Submits a request of the first class and returns the actions that follow.
     pub fn submit(&mut self, tenant: Option<usize>) -> (RequestId, Vec<Action>) {
         self.submit_with_time_left(tenant, millis(3000))
     }
 
-    /// The same for a client that waits so long.
+    /// The same for a client that waits for the given time.
     pub fn submit_with_time_left(
         &mut self,
         tenant: Option<usize>,
@@ -99,6 +102,7 @@
         (id, self.handle(Event::Request(request)))
     }
 
+    /// Reports the end of an attempt and returns the actions that follow.
     pub fn end_attempt(
         &mut self,
         request: RequestId,
@@ -116,8 +120,8 @@
         }))
     }
 
-    /// Offers a request and lets each attempt end with what `outcome` says of its upstream, after
-    /// the time it says. Returns the upstreams tried.
+    /// Submits a request and ends each of its attempts with the outcome and after the duration that
+    /// `outcome_of` gives for its upstream. Returns the upstreams that were tried.
     pub fn run_request(&mut self, outcome_of: impl Fn(UpstreamId) -> (Outcome, Duration)) -> Vec<UpstreamId> {
         let (id, mut actions) = self.submit(None);
         let mut tried = Vec::new();
@@ -131,7 +135,7 @@
     }
 }
 
-/// The upstream that the first send among the actions names.
+/// The upstream of the first send among the actions.
 pub fn sent_to(actions: &[Action]) -> Option<UpstreamId> {
     actions.iter().find_map(|action| match action {
         Action::Send { upstream, .. } => Some(*upstream),
@@ -139,6 +143,7 @@
     })
 }
 
+/// Whether the actions refuse a request.
 pub fn is_refused(actions: &[Action]) -> bool {
     actions.iter().any(|action| matches!(action, Action::Refuse { .. }))
 }
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -1,4 +1,4 @@
-//! Rules that hold over the sum of all copies: a whole fleet on one clock.
+//! Tests of limits on the sum over all replicas: simulates all replicas of a fleet with a common clock.
 
 mod common;
 
@@ -10,24 +10,24 @@
 use stilelead_decision::interface::*;
 
 const UPSTREAMS: u32 = 12;
-/// The first ones come back cold together.
+/// Number of upstreams, from id 0, that restart at the same time and enter slow start.
 const RESTARTED_UPSTREAMS: u32 = 3;
 const STEP: Duration = Duration::from_millis(5);
 const WARM_UP: Duration = Duration::from_secs(8);
 const OBSERVED: Duration = Duration::from_secs(8);
 
-/// A fleet and its traffic.
+/// The size of a fleet and its load.
 #[derive(Debug, Clone, Copy)]
 struct FleetScenario {
     replica_count: u32,
-    /// Calls a second at each copy before the burst.
+    /// Requests per second at each replica before the burst.
     requests_per_s: f64,
-    /// What becomes of calls at cold upstreams.
+    /// The outcome of requests sent to upstreams in slow start.
     slow_start_outcome: Outcome,
     seed: u64,
 }
 
-/// A call that reached a cold upstream.
+/// A request sent to an upstream in slow start.
 struct SlowStartSend {
     upstream: u32,
     sent_at: Duration,
@@ -44,7 +44,8 @@
     settings
 }
 
-/// Plays a fleet whose upstreams come back cold under a burst of half as many calls again; tells when.
+/// Simulates a fleet in which some upstreams restart while the load rises by half. Returns the time of the
+/// restart and the requests that were sent to the restarted upstreams.
 fn run_fleet(scenario: FleetScenario) -> (Duration, Vec<SlowStartSend>) {
     let members = |started_at: Option<Duration>| -> Vec<Member> {
         (0..UPSTREAMS)
@@ -94,8 +95,9 @@
     (restarted_at, sends)
 }
 
-/// Guards cold upstreams against all copies together: within the time of the settings each gets no more than they
-/// allow it then, but for chance, though every copy sends by what it sees alone. Yet it gets some, or it never warms.
+/// Guards against overload of upstreams in slow start by all replicas together, each of which knows only its
+/// own requests: within the overload duration an upstream gets no more than its overload limit plus random
+/// variation. It must get some requests all the same, or it never warms up.
 #[test]
 fn the_slow_start_limit_holds_over_all_replicas() {
     for (replica_count, requests_per_s, slow_start_outcome, seed) in [
@@ -110,7 +112,7 @@
         let (restarted_at, sends) = run_fleet(scenario);
         let rules = settings(scenario, 0).rules;
         let window = rules.overload_duration;
-        // Before the burst warm upstreams are at seven tenths of what they can do.
+        // Before the burst, warm upstreams are at 70% of their capacity.
         let capacity = f64::from(replica_count) * requests_per_s / f64::from(UPSTREAMS) / 0.7;
         for upstream in 0..RESTARTED_UPSTREAMS {
             let send_times: Vec<Duration> =
@@ -128,10 +130,10 @@
                 let max_sends = allowed + 2.0 * allowed.sqrt() + 2.0;
                 assert!(
                     sends_in_window <= max_sends,
-                    "{scenario:?}: {sends_in_window} calls of {max_sends} to {upstream}"
+                    "{scenario:?}: {sends_in_window} requests to upstream {upstream}, maximum {max_sends}"
                 );
             }
-            assert!(!send_times.is_empty(), "{scenario:?}: none to {upstream}");
+            assert!(!send_times.is_empty(), "{scenario:?}: no requests to upstream {upstream}");
         }
     }
 }
--- a/tests/list_trust.rs
+++ b/tests/list_trust.rs
@@ -1,4 +1,4 @@
-//! How far a list is relied on while no subscription confirms it, in simulated time.
+//! Tests of how long the list of upstreams is used while no subscription confirms it, in simulated time.
 
 mod common;
 
@@ -8,7 +8,7 @@
 use stilelead_decision::interface::*;
 use stilelead_decision::{Action, Balancer, Event, Settings};
 
-/// The grace for drains, less the time for which the process may be held up.
+/// The drain grace of the settings (300 ms) less the time for which the process may be paused (150 ms).
 const USABLE_DRAIN_GRACE: Duration = Duration::from_millis(150);
 
 fn settings() -> Settings {
@@ -19,12 +19,12 @@
     settings
 }
 
-/// A copy with a list that a subscription confirms.
+/// A replica whose list is confirmed by a subscription.
 fn subscribed(settings: Settings, members: u32) -> Harness {
     Harness::new(settings, 11, (0..members).map(member).collect())
 }
 
-/// Whether a request goes out now; it is taken back at once, so that it proves nothing.
+/// Whether a request is sent now. It is cancelled at once, so that it does not count as accepted.
 fn can_send(harness: &mut Harness) -> bool {
     let (id, actions) = harness.submit(None);
     let can_send_now = sent_to(&actions).is_some();
@@ -33,7 +33,8 @@
     can_send_now
 }
 
-/// How long from now requests go out, to the step, if they cease within `most`.
+/// How long requests are still sent, with the resolution of a step; `None` if they do not stop within
+/// `max_wait`.
 fn time_until_sends_stop(harness: &mut Harness, max_wait: Duration) -> Option<Duration> {
     let (start, step) = (harness.now, millis(10));
     while harness.now < start + max_wait {
@@ -45,11 +46,12 @@
     None
 }
 
+/// Checks that sends have stopped at the expected time, or up to 20 ms before it.
 fn assert_stops_at(stopped_after: Option<Duration>, expected: Duration) {
-    let stopped_after = stopped_after.expect("requests cease");
+    let stopped_after = stopped_after.expect("requests are no longer sent");
     assert!(
         stopped_after <= expected && expected - stopped_after < millis(20),
-        "{stopped_after:?} for {expected:?}"
+        "stopped after {stopped_after:?}, expected {expected:?}"
     );
 }
 
@@ -57,8 +59,9 @@
     harness.handle(Event::Discovery(DiscoveryUpdate::Failed));
 }
 
-/// Found on the day with the broken drain of an own deployment: a subscription may end in place of telling a change,
-/// which counts as told two seconds later, and the call after it may be answered after that.
+/// Guards against sends to a draining upstream after a subscription has ended, as found with a drain at a
+/// test deployment: the subscription may end instead of delivering a change, which counts as delivered two
+/// seconds later, and the next call to discovery may be answered only after that.
 #[test]
 fn after_a_subscription_ends_sends_stop_until_the_next_discovery_call_ends() {
     let with_ended_subscription = || {
@@ -71,11 +74,11 @@
         );
         harness
     };
-    // Answered: all is known.
+    // The call is answered: the list is confirmed.
     let mut harness = with_ended_subscription();
     harness.handle(Event::Discovery(DiscoveryUpdate::Incremental(Vec::new())));
     assert_eq!(time_until_sends_stop(&mut harness, millis(30_000)), None);
-    // Turned away: what it has counts six seconds after the end at the latest.
+    // The call fails: changes count as delivered six seconds after the end of the subscription.
     let mut harness = with_ended_subscription();
     let elapsed = millis(2000) + USABLE_DRAIN_GRACE;
     fail_discovery(&mut harness);
@@ -83,12 +86,13 @@
         time_until_sends_stop(&mut harness, millis(60_000)),
         millis(6000) + USABLE_DRAIN_GRACE - elapsed,
     );
-    // Further failures renew nothing.
+    // Further failures do not extend the time.
     fail_discovery(&mut harness);
     assert!(!can_send(&mut harness));
 }
 
-/// What a silent subscription misses counts from when it fell silent, not from when that was noticed.
+/// Guards against counting from when a silent subscription was given up: changes may have been missed since
+/// its last update.
 #[test]
 fn a_silent_subscription_counts_as_lost_from_its_last_update() {
     let mut harness = subscribed(settings(), 3);
@@ -121,15 +125,16 @@
         }
         harness.advance(millis(20));
     }
-    assert_eq!(sends_to_draining, 0, "sent to the one that drains");
-    assert!(sends_to_ready > 500, "{sends_to_ready} requests went to the one that is ready");
+    assert_eq!(sends_to_draining, 0, "requests sent to the draining upstream");
+    assert!(sends_to_ready > 500, "{sends_to_ready} requests sent to the ready upstream");
 }
 
-/// Incident 1: copies restarted beside a discovery that turned all their calls away.
+/// Guards against using an outdated list after a restart. In incident 1, replicas restarted while discovery
+/// rejected all their calls.
 #[test]
 fn a_list_of_unknown_age_is_valid_only_briefly_after_the_first_request() {
     let with_stale_list = || {
-        let balancer = Balancer::new(settings(), 5).expect("the settings make sense");
+        let balancer = Balancer::new(settings(), 5).expect("the settings are valid");
         let mut harness = Harness::not_started(balancer);
         harness.handle(Event::Started);
         harness.handle(Event::Discovery(DiscoveryUpdate::Stale(vec![member(0), member(1)])));
@@ -137,22 +142,23 @@
     };
     let mut harness = with_stale_list();
     assert_stops_at(time_until_sends_stop(&mut harness, millis(60_000)), millis(2000));
-    // Clients may come late.
+    // The time starts with the first request.
     let mut harness = with_stale_list();
     harness.advance(millis(3000));
     assert_stops_at(time_until_sends_stop(&mut harness, millis(60_000)), millis(2000));
-    // So late that all that was there at the start counts as told.
+    // By now, changes made before the start count as delivered.
     let mut harness = with_stale_list();
     harness.advance(millis(6000) + USABLE_DRAIN_GRACE);
     assert!(!can_send(&mut harness));
-    // Failed calls renew nothing; a word from discovery does.
+    // Failed calls do not extend the time; an update from discovery does.
     fail_discovery(&mut harness);
     assert!(!can_send(&mut harness));
     harness.handle(Event::Discovery(DiscoveryUpdate::Incremental(Vec::new())));
     assert!(can_send(&mut harness));
 }
 
-/// While nobody listens where discovery is, it tells nothing, and a list goes on holding for however long.
+/// Guards against giving up the list while nothing accepts connections at discovery's address: no changes
+/// count as delivered during that time.
 #[test]
 fn the_list_stays_valid_while_discovery_is_down() {
     let mut harness = subscribed(settings(), 3);
@@ -161,7 +167,7 @@
         harness.handle(Event::Discovery(DiscoveryUpdate::Unreachable));
         assert_eq!(time_until_sends_stop(&mut harness, millis(4000)), None);
     }
-    // It is back, and turns calls away.
+    // Discovery is back and rejects calls.
     fail_discovery(&mut harness);
     assert_stops_at(time_until_sends_stop(&mut harness, millis(60_000)), millis(2000) + USABLE_DRAIN_GRACE);
 }
@@ -172,7 +178,7 @@
     harness.advance(millis(5000));
     harness.handle(Event::DiscoveryMoved);
     harness.advance(millis(1000));
-    // Where it was it still speaks, which says nothing of where it is.
+    // Updates from the former address do not confirm the list.
     harness.handle(Event::FormerDiscovery(DiscoveryUpdate::Incremental(Vec::new())));
     fail_discovery(&mut harness);
     assert_stops_at(time_until_sends_stop(&mut harness, millis(60_000)), millis(3000) + USABLE_DRAIN_GRACE);
@@ -180,7 +186,7 @@
     assert_eq!(time_until_sends_stop(&mut harness, millis(10_000)), None);
 }
 
-/// What comes at an earlier address of discovery is taken in all the same.
+/// Guards against ignoring updates from discovery's former address.
 #[test]
 fn a_drain_announced_at_the_former_address_is_applied() {
     let mut harness = subscribed(settings(), 1);
@@ -190,7 +196,7 @@
     assert!(!can_send(&mut harness));
 }
 
-/// A connection that comes up late carries nothing that the list no longer allows by then.
+/// Guards against sending on a connection that opens only after the list has ceased to be valid.
 #[test]
 fn an_attempt_must_start_while_the_list_is_valid() {
     let mut harness = subscribed(settings(), 1);
@@ -202,7 +208,8 @@
         _ => None,
     });
     assert_eq!(start_within, Some(USABLE_DRAIN_GRACE));
-    // What was sent while a subscription stood has no such limit; it is called off once the list holds no more.
+    // An attempt sent while the subscription was up has no such limit; it is aborted once the list is no
+    // longer valid.
     let mut harness = subscribed(settings(), 1);
     assert!(sent_to(&harness.submit(None).1).is_some());
     fail_discovery(&mut harness);
@@ -213,7 +220,8 @@
     assert!(aborts_connects(&harness.handle(Event::TimerFired)));
 }
 
-/// Where lists are pushed, an end of the subscription stands for no change; only silence and time do.
+/// Guards against treating the end of a subscription to pushed lists as a change: there, changes count as
+/// delivered only after the longer time.
 #[test]
 fn pushed_lists_stay_valid_for_six_seconds_without_a_subscription() {
     let mut settings = settings();
--- a/tests/pick.rs
+++ b/tests/pick.rs
@@ -1,4 +1,4 @@
-//! Subsets, the pick and upstream health; one test for each failure found.
+//! Tests of subsets, upstream selection and upstream health.
 
 mod common;
 
@@ -14,7 +14,7 @@
     Settings::single_zone(vec![class(Idempotency::Idempotent)])
 }
 
-/// The upstreams that a copy uses, over many calls.
+/// The upstreams that a replica uses for 400 requests.
 fn upstreams_used(replica_index: u32, replica_count: u32, upstream_count: u32) -> Vec<u32> {
     let settings = Settings { replica_index, replica_count, ..settings() };
     let mut harness =
@@ -28,9 +28,14 @@
 }
 
 proptest! {
-    #![proptest_config(ProptestConfig { cases: 24, failure_persistence: None, rng_seed: RngSeed::Fixed(7), ..ProptestConfig::default() })]
+    #![proptest_config(ProptestConfig {
+        cases: 24,
+        failure_persistence: None,
+        rng_seed: RngSeed::Fixed(7),
+        ..ProptestConfig::default()
+    })]
 
-    /// No upstream is left bare and none is used by far more copies than another.
+    /// Guards against upstreams that no replica uses, or that are used by far more replicas than others.
     #[test]
     fn subsets_cover_the_tier_evenly(replica_count in 1u32..40, upstream_count in 1u32..60) {
         let mut replicas_per_upstream = vec![0u32; upstream_count as usize];
@@ -39,9 +44,10 @@
                 replicas_per_upstream[upstream as usize] += 1;
             }
         }
-        let (min, max) = (replicas_per_upstream.iter().min().unwrap(), replicas_per_upstream.iter().max().unwrap());
-        prop_assert!(*min >= 1, "a bare upstream: {replicas_per_upstream:?}");
-        prop_assert!(max - min <= 2, "uneven: {replicas_per_upstream:?}");
+        let min = replicas_per_upstream.iter().min().unwrap();
+        let max = replicas_per_upstream.iter().max().unwrap();
+        prop_assert!(*min >= 1, "an upstream that no replica uses: {replicas_per_upstream:?}");
+        prop_assert!(max - min <= 2, "uneven number of replicas per upstream: {replicas_per_upstream:?}");
     }
 }
 
@@ -56,7 +62,8 @@
     assert!(is_refused(&harness.submit(None).1));
 }
 
-/// Many copies that see few calls each piled on servers by chance until these choked.
+/// Guards against overloaded upstreams: replicas with few requests each happened to send several to the same
+/// upstream while others were idle.
 #[test]
 fn requests_go_to_idle_upstreams_first() {
     let mut upstreams_with_two_or_more = 0;
@@ -69,14 +76,15 @@
         }
         upstreams_with_two_or_more += attempts_by_upstream.values().filter(|&&requests| requests > 1).count();
     }
-    // Two draws alone stack about half a call in each run.
+    // Choosing from two random upstreams alone would give about half a second request in each run.
     assert!(
         upstreams_with_two_or_more < 15,
-        "{upstreams_with_two_or_more} members got a second call while others idled"
+        "{upstreams_with_two_or_more} upstreams got a second request while others were idle"
     );
 }
 
-/// Counts the first attempts of `calls` requests that went to upstream 0.
+/// Runs requests whose attempts end as `upstream_0` says at upstream 0 and in `other_latency_ms` at the
+/// others. Returns the fraction whose first attempt went to upstream 0.
 fn first_attempt_share(
     harness: &mut Harness,
     requests: u32,
@@ -94,28 +102,30 @@
     f64::from(sent_to_0) / f64::from(requests)
 }
 
-/// A server that fails fast looks idle; it must not draw the calls.
+/// Guards against sending to an upstream that fails quickly, which looks idle because nothing is in flight to
+/// it.
 #[test]
 fn a_failing_upstream_is_ejected_and_returns_after_recovery() {
     let mut harness = Harness::new(settings(), 3, (0..5).map(member).collect());
     first_attempt_share(&mut harness, 200, (Outcome::Good, 20), 20);
     let failing_share = first_attempt_share(&mut harness, 1000, (Outcome::Error, 2), 20);
-    assert!(failing_share < 0.04, "{failing_share} of the calls still went to it");
+    assert!(failing_share < 0.04, "{failing_share} of the requests still went to it");
     first_attempt_share(&mut harness, 1500, (Outcome::Good, 20), 20);
     let recovered_share = first_attempt_share(&mut harness, 500, (Outcome::Good, 20), 20);
-    assert!(recovered_share > 0.1, "{recovered_share} of the calls go to it after it has recovered");
+    assert!(recovered_share > 0.1, "{recovered_share} of the requests went to it after it had recovered");
 }
 
-/// With calls one at a time none is in flight, so only the times taken tell a slow server.
+/// Guards against ignoring latency: with one request at a time none is in flight elsewhere, so only its
+/// latency shows that an upstream is slow.
 #[test]
 fn a_slow_upstream_gets_fewer_requests() {
     let mut harness = Harness::new(settings(), 3, (0..5).map(member).collect());
     first_attempt_share(&mut harness, 100, (Outcome::Good, 20), 20);
     let slow_share = first_attempt_share(&mut harness, 600, (Outcome::Good, 100), 20);
-    assert!(slow_share < 0.07, "{slow_share} of the calls went to it");
+    assert!(slow_share < 0.07, "{slow_share} of the requests went to it");
 }
 
-/// A hung server takes calls and answers none.
+/// Guards against sending to an upstream that hangs: it accepts requests and never answers.
 #[test]
 fn an_unresponsive_upstream_gets_no_further_requests() {
     let mut harness = Harness::new(settings(), 3, (0..5).map(member).collect());
@@ -129,7 +139,7 @@
             _ => drop(harness.end_attempt(id, 0, Outcome::Good, millis(20))),
         }
     }
-    assert!(unanswered <= 2, "it swallowed {unanswered} calls");
+    assert!(unanswered <= 2, "{unanswered} requests were sent to it");
 }
 
 fn two_zones(tier: usize, cross_zone_cost: f64) -> Harness {
@@ -139,7 +149,8 @@
     Harness::new(settings, 9, members.collect())
 }
 
-/// The part of the calls that stays in the own zone (even ids) when it takes `home_ms` there.
+/// The fraction of requests that stays in the local zone (upstreams with even ids) if they take
+/// `local_latency_ms` there and 50 ms in the other zone.
 fn local_share(harness: &mut Harness, requests: u32, local_latency_ms: u64) -> f64 {
     let mut local_requests = 0;
     for _ in 0..requests {
@@ -152,17 +163,19 @@
     f64::from(local_requests) / f64::from(requests)
 }
 
-/// All calls stayed at home at the start of a day, and the congested zone choked within 2 s.
+/// Guards against overload at the start: all requests stayed in the local zone, and where that was congested
+/// it failed within 2 s.
 #[test]
 fn the_first_tier_starts_evenly_spread_and_then_prefers_the_local_zone() {
     let mut harness = two_zones(0, 0.1);
     let initial_share = local_share(&mut harness, 40, 50);
-    assert!((0.2..0.8).contains(&initial_share), "{initial_share} stayed at first");
+    assert!((0.2..0.8).contains(&initial_share), "{initial_share} stayed in the local zone at first");
     local_share(&mut harness, 1500, 50);
     assert!(local_share(&mut harness, 200, 50) > 0.9);
 }
 
-/// Below the first tier the noise of few calls sent half of them across zones.
+/// Guards against needless cross-zone requests: below the first tier, the noise of few requests sent half of
+/// them to another zone.
 #[test]
 fn lower_tiers_start_local_and_leave_the_zone_only_when_it_is_slower() {
     let mut harness = two_zones(1, 0.1);
@@ -171,7 +184,8 @@
     assert!(local_share(&mut harness, 100, 700) < 0.9);
 }
 
-/// Cold upstreams: what they get stays within what they surely can do.
+/// Guards against overloading an upstream in slow start: it must get no more than the capacity that it is
+/// certain to have.
 #[test]
 fn an_upstream_in_slow_start_gets_a_fraction_of_a_warm_ones_load() {
     let mut settings = settings();
@@ -197,17 +211,17 @@
         let max_sends = capacity_fraction * sends_per_warm_upstream * 1.5 + 2.0;
         assert!(
             f64::from(slow_start_sends) <= max_sends,
-            "second {age_s}: {slow_start_sends} sent, {max_sends} at most"
+            "second {age_s}: {slow_start_sends} sent, maximum {max_sends}"
         );
     }
     let (slow_start_sends, total_sends) = per_second[21];
     assert!(
         f64::from(slow_start_sends) > 0.1 * f64::from(total_sends),
-        "warm, yet {slow_start_sends} of {total_sends}"
+        "after slow start it got only {slow_start_sends} of {total_sends}"
     );
 }
 
-/// A storm of denied calls paid for further attempts, which kept a choked tier choked.
+/// Guards against retries that keep a tier overloaded: many denied requests added to the retry budget.
 #[test]
 fn denied_requests_add_nothing_to_the_retry_budget() {
     let mut settings = settings();
@@ -229,11 +243,11 @@
             attempt += 1;
         }
     }
-    assert!(retries <= 6 + first_attempts / 10, "{retries} further attempts for {first_attempts} admitted");
+    assert!(retries <= 6 + first_attempts / 10, "{retries} retries for {first_attempts} admitted requests");
 }
 
-/// Giving a slow attempt up early and sending it once more added work just as servers reached their
-/// limit; at one deployment that alone cost 0.07.
+/// Guards against early time-outs: retrying slow attempts before the latency target added work just when
+/// servers reached their limit, which alone cost 0.07 at one deployment.
 #[test]
 fn an_attempt_does_not_time_out_before_the_latency_target() {
     let mut harness = Harness::new(settings(), 3, (0..8).map(member).collect());
@@ -246,7 +260,8 @@
     assert!(timeout.unwrap() > millis(990), "{timeout:?}");
 }
 
-/// Behind a broken link many upstreams are out of reach at once; that must not look like congestion.
+/// Guards against taking a broken link for congestion: many upstreams behind it are unreachable at once, and
+/// all of them must be ejected.
 #[test]
 fn all_unreachable_upstreams_are_ejected_even_if_they_are_many() {
     let mut harness = Harness::new(settings(), 3, (0..9).map(member).collect());
@@ -260,12 +275,12 @@
     }
     assert!(
         sent_to_unreachable < 75,
-        "{sent_to_unreachable} of 500 calls went to upstreams out of reach first"
+        "{sent_to_unreachable} of 500 requests were first sent to unreachable upstreams"
     );
 }
 
-/// Guards attempts that wait for a connection to an upstream told draining or gone, by name or by its absence, or found
-/// out of reach: they are ended then, and not when the connection is up or its time over.
+/// Guards against attempts that wait for a connection to an upstream that is draining, gone, missing from a
+/// full list or unreachable: they must end at once, not when the connection opens or times out.
 #[test]
 fn pending_connects_to_unusable_upstreams_are_aborted() {
     let aborts_connects_to =
@@ -284,7 +299,7 @@
             0
         ));
         assert!(aborts_connects_to(&harness.handle(Event::Discovery(list)), 0));
-        // What was aborted goes elsewhere.
+        // The aborted attempt is rerouted.
         assert_eq!(
             sent_to(&harness.end_attempt(id, 0, Outcome::ConnectFailed, millis(1))),
             Some(UpstreamId(1))
@@ -301,8 +316,8 @@
     assert!(aborts_connects_to(&harness.end_attempt(ids[1], 0, Outcome::ConnectFailed, millis(20)), 0));
 }
 
-/// Found on the quiet days of two deployments: copies that see a few calls a second spread them over all
-/// members and paid a handshake for most.
+/// Guards against needless handshakes, as seen under low load at two deployments: replicas with a few
+/// requests per second spread them over all upstreams and opened a connection for most.
 #[test]
 fn a_replica_with_few_requests_reuses_connections_if_handshakes_have_a_cost() {
     let count_upstreams_used = |handshake_cost: f64| {
@@ -321,8 +336,9 @@
     assert!(count_upstreams_used(0.08) <= 5);
 }
 
-/// Found on the fleet's days: upstreams that drained before their copies were told rejected calls at once, so had
-/// none in flight and drew two fifths of all sends; the copies took it for congestion.
+/// Guards against attraction to upstreams that drain before the replicas know it, as seen with a whole fleet:
+/// they reject at once, so nothing is in flight to them, and they got two fifths of all sends. The replicas
+/// took the rejections for congestion.
 #[test]
 fn upstreams_that_reject_requests_do_not_attract_more() {
     let (mut sends, mut rejected) = (0, 0);
@@ -334,7 +350,7 @@
             harness.advance(millis(10));
             let (id, mut actions) = harness.submit(None);
             let mut attempt = 0;
-            // A quarter of the tier drains.
+            // A quarter of the tier is draining.
             while let Some(UpstreamId(upstream)) = sent_to(&actions) {
                 sends += 1;
                 if upstream % 4 != 0 {
@@ -351,5 +367,5 @@
             }
         }
     }
-    assert!(rejected < sends / 12, "{rejected} of {sends} sends rejected");
+    assert!(rejected < sends / 12, "{rejected} of {sends} sends were rejected");
 }
--- a/tests/reconfigure.rs
+++ b/tests/reconfigure.rs
@@ -1,4 +1,5 @@
-//! New settings while the copy runs: they hold from then on, and nothing learned or in flight is lost.
+//! Tests of new settings for a running replica: they apply from then on, and learned state and requests in
+//! flight are kept.
 
 mod common;
 
@@ -19,7 +20,7 @@
     harness.handle(Event::SettingsChanged(Box::new(settings.clone())))
 }
 
-/// Offers a request of any class and tenant.
+/// Submits a request of the given class and tenant.
 fn submit(harness: &mut Harness, id: u64, class: usize, tenant: usize) -> Vec<Action> {
     harness.handle(Event::Request(Request {
         id: RequestId(1_000_000 + id),
@@ -32,7 +33,7 @@
     }))
 }
 
-/// The part of `calls` at `rate` a second that is admitted.
+/// The fraction of requests admitted at the given rate.
 fn admitted_fraction(
     harness: &mut Harness,
     tenant: usize,
@@ -52,7 +53,8 @@
     f64::from(admitted) / f64::from(requests)
 }
 
-/// The part of `calls` at one moment that is admitted: nothing is learned in between.
+/// The fraction admitted of requests that all arrive at the same time, so that nothing is learned between
+/// them.
 fn admitted_fraction_of_burst(harness: &mut Harness, tenant: usize, requests: u32) -> f64 {
     let admitted = (0..requests).filter(|_| sent_to(&harness.submit(Some(tenant)).1).is_some()).count();
     admitted as f64 / f64::from(requests)
@@ -61,21 +63,21 @@
 #[test]
 fn a_changed_quota_applies_and_keeps_the_learned_fraction() {
     let members = || (0..4).map(member).collect();
-    // Calm: 10 calls a second become some 36.
+    // Without congestion, the limit rises from 10 to about 36 requests per second.
     let mut uncongested = Harness::new(settings(25.0 / 3.0), 5, members());
     let before = admitted_fraction(&mut uncongested, 0, 40.0, 400, Outcome::Good);
     apply_settings(&mut uncongested, &settings(100.0 / 3.0));
     let after = admitted_fraction(&mut uncongested, 0, 40.0, 400, Outcome::Good);
     assert!(before < 0.4 && after > 0.85, "{before} admitted before, {after} after");
-    // Congested: a quarter of the fair share is left, and stays so of the new one.
+    // Under congestion, the limit is at a quarter of the fair share, and stays at a quarter of the new one.
     let mut congested = Harness::new(settings(25.0 / 3.0), 5, members());
     admitted_fraction(&mut congested, 0, 40.0, 1600, Outcome::TimedOut);
     apply_settings(&mut congested, &settings(100.0 / 3.0));
     let after = admitted_fraction(&mut congested, 0, 40.0, 400, Outcome::TimedOut);
-    assert!((0.12..0.5).contains(&after), "{after} admitted after a jam");
+    assert!((0.12..0.5).contains(&after), "{after} admitted after congestion");
 }
 
-/// What of a tenant's limit is learned before a change is neither forgotten nor taken off again.
+/// Guards against losing a learned limit, or lowering it again, when unrelated settings change.
 #[test]
 fn a_settings_change_keeps_a_learned_limit() {
     for quota in [Some(25.0 / 3.0), None] {
@@ -91,11 +93,12 @@
         let (with_change, without_change) =
             (fraction_after_congestion(true), fraction_after_congestion(false));
         assert_eq!(with_change, without_change);
-        assert!(without_change < 0.3, "{without_change} admitted after a jam");
+        assert!(without_change < 0.3, "{without_change} admitted after congestion");
     }
 }
 
-/// A new tenant starts with its whole quota, but what all tenants together may send is as learned.
+/// Guards against losing the learned shared limit: a new tenant starts with its full quota, but the limit
+/// shared by all tenants stays as learned.
 #[test]
 fn the_shared_limit_keeps_its_learned_rate_when_a_tenant_is_added() {
     let new_tenant_fraction = |outcome| {
@@ -108,22 +111,26 @@
     };
     let (uncongested, congested) =
         (new_tenant_fraction(Outcome::Good), new_tenant_fraction(Outcome::TimedOut));
-    assert!(uncongested > 0.95 && congested < 0.4, "{uncongested} admitted in calm, {congested} after a jam");
+    assert!(
+        uncongested > 0.95 && congested < 0.4,
+        "{uncongested} admitted without congestion, {congested} after a jam"
+    );
 }
 
 #[test]
 fn a_new_class_and_a_new_tenant_are_served() {
     let mut harness = Harness::new(settings(25.0 / 3.0), 5, (0..4).map(member).collect());
-    assert!(is_refused(&submit(&mut harness, 0, 1, 0)), "a class that the settings do not have");
+    assert!(is_refused(&submit(&mut harness, 0, 1, 0)), "the settings do not have this class yet");
     let mut extended = settings(25.0 / 3.0);
     extended.classes.push(class(Idempotency::NonIdempotent));
     extended.tenants.push(Tenant { quota: Some(100.0) });
     apply_settings(&mut harness, &extended);
     assert!(sent_to(&submit(&mut harness, 1, 1, 1)).is_some());
-    // Each tenant is held to its own limit: the new one has room where the old one has none.
+    // Each tenant has its own limit: requests of the new one are admitted while those of the old one are
+    // denied.
     let old = admitted_fraction(&mut harness, 0, 40.0, 400, Outcome::Good);
     let new = admitted_fraction(&mut harness, 1, 40.0, 400, Outcome::Good);
-    assert!(old < 0.5 && new > 0.95, "{old} of the old tenant's calls admitted, {new} of the new one's");
+    assert!(old < 0.5 && new > 0.95, "{old} of the old tenant's requests admitted, {new} of the new one's");
 }
 
 #[test]
@@ -147,9 +154,9 @@
             Action::Send { timeout, .. } => *timeout,
             _ => None,
         });
-        let timeout = timeout.expect("goes elsewhere");
-        assert!(timeout > millis(590), "cut to {timeout:?}");
-        // The new cap of two attempts holds for it too.
+        let timeout = timeout.expect("the attempt is rerouted");
+        assert!(timeout > millis(590), "timeout reduced to {timeout:?}");
+        // The new maximum of two attempts applies to it as well.
         assert_eq!(sent_to(&harness.end_attempt(id, 1, Outcome::ConnectFailed, millis(1))), None);
     }
 }
@@ -160,7 +167,7 @@
     let outcome_of = |upstream: UpstreamId| {
         if upstream.0 == 0 { (Outcome::ConnectFailed, millis(20)) } else { (Outcome::Good, millis(20)) }
     };
-    // The second failed connect in a row ejects it, for more than a second.
+    // The second failed connect in a row ejects the upstream for more than a second.
     let mut tried = 0;
     while tried < 2 {
         tried += u32::from(harness.run_request(outcome_of).contains(&UpstreamId(0)));
@@ -196,7 +203,7 @@
         assert_eq!(subset.len(), 8);
         all_subsets.extend(subset);
     }
-    // All copies together cover each upstream alike.
+    // The subsets of all replicas cover each upstream equally often.
     for id in 0..64 {
         assert_eq!(all_subsets.iter().filter(|upstream| upstream.0 == id).count(), 4);
     }
@@ -210,14 +217,14 @@
             (0..200).flat_map(|_| harness.run_request(|_| (Outcome::Good, millis(1)))).collect();
         tried.iter().filter(|upstream| upstream.0 % 2 == zone).count()
     };
-    // Below the first tier calls stay at home.
+    // Below the first tier, requests stay in the local zone.
     let mut settings = Settings { zone_count: 2, tier: 1, ..settings(1e6) };
     let mut harness = Harness::new(settings.clone(), 3, members());
     assert_eq!(requests_to_zone(&mut harness, 0), 200);
     settings.zone = ZoneId(1);
     apply_settings(&mut harness, &settings);
     assert_eq!(requests_to_zone(&mut harness, 1), 200);
-    // At the first they are learned to; of a new home nothing is known yet.
+    // In the first tier the local share is learned, and nothing is known of a new local zone yet.
     (settings.tier, settings.zone) = (0, ZoneId(0));
     let mut harness = Harness::new(settings.clone(), 3, members());
     harness.advance(Duration::from_secs(120));
@@ -225,10 +232,11 @@
     settings.zone = ZoneId(1);
     apply_settings(&mut harness, &settings);
     let local_requests = requests_to_zone(&mut harness, 1);
-    assert!((60..140).contains(&local_requests), "{local_requests} of 200 calls at home");
+    assert!((60..140).contains(&local_requests), "{local_requests} of 200 requests in the local zone");
 }
 
-/// How a request in flight is repeated after its attempt broke off, where its class had these effects one by one.
+/// The actions after the attempt of a request has ended with `outcome`, if the idempotency of its class went
+/// through the given values while the attempt was in flight.
 fn actions_after_changes(idempotency_changes: &[Idempotency], outcome: Outcome) -> Vec<Action> {
     let settings_with = |idempotency| Settings { classes: vec![class(idempotency)], ..settings(1000.0) };
     let mut harness = Harness::new(settings_with(idempotency_changes[0]), 5, (0..4).map(member).collect());
@@ -258,16 +266,16 @@
         &[deduplicated(5), deduplicated(5000)],
     ];
     for idempotency_changes in cases {
-        // It may have run: it is neither sent again nor called free to repeat.
+        // The attempt may have been executed: the request is neither retried nor reported as safe to retry.
         let actions = actions_after_changes(idempotency_changes, Outcome::Reset);
         assert!(matches!(actions[..], [Action::Fail { .. }]), "{idempotency_changes:?}: {actions:?}");
-        // It never ran: it goes elsewhere.
+        // The attempt was never executed: the request is rerouted.
         assert!(
             sent_to(&actions_after_changes(idempotency_changes, Outcome::Refused)).is_some(),
             "{idempotency_changes:?}"
         );
     }
-    // Where its rule has not changed it goes on as it was.
+    // Without a change of idempotency, the request is retried as before.
     assert!(
         sent_to(&actions_after_changes(&[Idempotency::Idempotent, Idempotency::Idempotent], Outcome::Reset))
             .is_some()
@@ -322,7 +330,7 @@
     for (replacement, error) in cases {
         assert_eq!(replacement.validate_replacement_of(&current), Err(error));
         assert_eq!(apply_settings(&mut harness, &replacement), []);
-        // Were any of it in force, there would be no second attempt.
+        // If any of the replacement were in force, there would be no second attempt.
         let (id, _) = harness.submit(Some(0));
         assert!(sent_to(&harness.end_attempt(id, 0, Outcome::Refused, millis(1))).is_some());
         harness.end_attempt(id, 1, Outcome::Good, millis(1));
@@ -337,16 +345,16 @@
     polling.discovery = DiscoveryMode::Subscribe;
     polling.rules.max_poll_interval = Some(millis(60_000));
     let mut harness = Harness::new(polling.clone(), 5, (0..4).map(member).collect());
-    // A subscription that stands goes on.
+    // A subscription that is up continues.
     polling.rules.max_poll_interval = Some(millis(50_000));
     assert_eq!(apply_settings(&mut harness, &polling), []);
     harness.handle(Event::Discovery(DiscoveryUpdate::Failed));
     harness.advance(millis(2_000));
     polling.rules.max_poll_interval = Some(millis(1_000));
     assert!(apply_settings(&mut harness, &polling).contains(&Action::SubscribeToDiscovery));
-    // The same settings once more ask for nothing.
+    // The same settings again cause no actions.
     assert_eq!(apply_settings(&mut harness, &polling), []);
-    // Where lists came by themselves they must be asked for from now on.
+    // After a change from pushed lists, the replica must subscribe.
     let mut harness = Harness::new(settings(1000.0), 5, (0..4).map(member).collect());
     assert!(apply_settings(&mut harness, &polling).contains(&Action::SubscribeToDiscovery));
 }
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -1,4 +1,5 @@
-//! The four rules over arbitrary legal sequences of events, against a small independent oracle.
+//! Property tests of the four rules over arbitrary valid sequences of events, checked by a small independent
+//! oracle.
 
 mod common;
 
@@ -11,38 +12,31 @@
 use stilelead_decision::interface::*;
 use stilelead_decision::{Action, Balancer, Event, Settings};
 
+/// A step of a random sequence of events.
 #[derive(Debug, Clone)]
 enum Step {
+    /// Advances the clock by this many milliseconds.
     Advance(u64),
-    Submit {
-        class: usize,
-        time_left_ms: u64,
-    },
-    /// Ends one of the attempts that are out.
-    EndAttempt {
-        index: usize,
-        outcome: Outcome,
-    },
-    Abandon {
-        index: usize,
-    },
-    /// Changes one upstream: its phase, or a restart.
-    UpdateMember {
-        upstream: u32,
-        phase: Phase,
-        restarted: bool,
-    },
-    ReplaceList {
-        member_count: u32,
-        stale: bool,
-    },
+    /// Submits a request.
+    Submit { class: usize, time_left_ms: u64 },
+    /// Ends one of the attempts in flight; `index` wraps around.
+    EndAttempt { index: usize, outcome: Outcome },
+    /// A client disconnects; `index` wraps around.
+    Abandon { index: usize },
+    /// Updates one upstream: its phase, or its start time after a restart.
+    UpdateMember { upstream: u32, phase: Phase, restarted: bool },
+    /// Replaces the list by the first `member_count` upstreams.
+    ReplaceList { member_count: u32, stale: bool },
+    /// A call to discovery fails or the subscription ends.
     DiscoveryFailed,
+    /// Replaces the settings.
     ChangeSettings(ChangeSettings),
 }
 
-/// New settings, drawn as what becomes of the old ones.
+/// A random change of the settings.
 #[derive(Debug, Clone)]
 struct ChangeSettings {
+    /// The class whose idempotency and late value change.
     class: usize,
     idempotency: Idempotency,
     late_value: f64,
@@ -54,7 +48,7 @@
     hedging: bool,
     cancellation: bool,
     max_poll_interval_ms: u64,
-    /// A class and a tenant are added.
+    /// Whether a class and a tenant are added.
     append_entries: bool,
 }
 
@@ -63,7 +57,8 @@
     prop_oneof![
         1 => Just(Idempotency::Idempotent),
         1 => Just(Idempotency::NonIdempotent),
-        2 => (scope, 50u64..1500).prop_map(|(scope, window)| Idempotency::Deduplicated { scope, window: millis(window) }),
+        2 => (scope, 50u64..1500)
+            .prop_map(|(scope, window_ms)| Idempotency::Deduplicated { scope, window: millis(window_ms) }),
     ]
 }
 
@@ -114,7 +109,8 @@
         1 => any::<usize>().prop_map(|index| Step::Abandon { index }),
         2 => (0u32..8, phase, any::<bool>())
             .prop_map(|(upstream, phase, restarted)| Step::UpdateMember { upstream, phase, restarted }),
-        1 => (0u32..9, any::<bool>()).prop_map(|(member_count, stale)| Step::ReplaceList { member_count, stale }),
+        1 => (0u32..9, any::<bool>())
+            .prop_map(|(member_count, stale)| Step::ReplaceList { member_count, stale }),
         1 => Just(Step::DiscoveryFailed),
         1 => change_settings().prop_map(Step::ChangeSettings),
     ]
@@ -144,6 +140,7 @@
     Member { zone: Some(ZoneId(id as usize % 2)), cell: id / 3, ..common::member(id) }
 }
 
+/// An attempt as the oracle sees it.
 struct Attempt {
     upstream: UpstreamId,
     sent_at: Duration,
@@ -151,18 +148,20 @@
     outcome: Option<Outcome>,
 }
 
+/// A request as the oracle sees it.
 struct RequestState {
     class: usize,
-    /// All that have been in force for it since it came.
+    /// All values of its class's idempotency since it was submitted.
     idempotencies: Vec<Idempotency>,
     deadline: Duration,
     attempts: Vec<Attempt>,
+    /// Number of times that the balancer has refused or failed it.
     final_answers: u32,
-    /// Its end was reported by an outcome or by the client's leaving.
+    /// Whether its end was reported by an outcome or because the client disconnected.
     ended: bool,
 }
 
-/// The world around the balancer, and the oracle that checks what it does.
+/// Simulates the environment of a balancer and checks each of its actions against the rules.
 struct Simulation {
     balancer: Balancer,
     settings: Settings,
@@ -170,7 +169,7 @@
     requests: BTreeMap<RequestId, RequestState>,
     list: BTreeMap<UpstreamId, Member>,
     timer_at: Option<Duration>,
-    /// Since when the copy neither has a subscription nor has asked.
+    /// Since when the replica has had no subscription and has not tried to open one.
     unsubscribed_since: Option<Duration>,
     next_id: u64,
 }
@@ -178,7 +177,7 @@
 impl Simulation {
     fn new(settings: Settings, seed: u64) -> Self {
         let mut simulation = Self {
-            balancer: Balancer::new(settings.clone(), seed).expect("the settings make sense"),
+            balancer: Balancer::new(settings.clone(), seed).expect("the settings are valid"),
             settings,
             now: START,
             requests: BTreeMap::new(),
@@ -203,13 +202,16 @@
     fn check(&mut self, action: Action) {
         match action {
             Action::Send { request, upstream, timeout, start_within } => {
-                let state = self.requests.get_mut(&request).expect("a request that it has");
-                assert!(state.final_answers == 0 && !state.ended, "sent after its end");
+                let state = self.requests.get_mut(&request).expect("the request has been submitted");
+                assert!(state.final_answers == 0 && !state.ended, "sent after the request has ended");
                 assert!(self.now < state.deadline, "sent after the deadline");
-                let target = self.list.get(&upstream).expect("an upstream that a list has named");
-                assert_eq!(target.phase, Phase::Ready, "sent to one that drains or is gone");
+                let target = self.list.get(&upstream).expect("the upstream is in the list");
+                assert_eq!(target.phase, Phase::Ready, "sent to an upstream that is draining or gone");
                 let in_flight = state.attempts.iter().filter(|attempt| attempt.outcome.is_none()).count();
-                assert!(in_flight == 0 || self.settings.capabilities.hedging, "two attempts at once");
+                assert!(
+                    in_flight == 0 || self.settings.capabilities.hedging,
+                    "two attempts in flight without hedging"
+                );
                 assert!(state.attempts.len() < self.settings.capabilities.max_attempts as usize);
                 let may_have_run =
                     |attempt: &&Attempt| attempt.outcome.is_none_or(|outcome| !outcome.never_ran());
@@ -217,10 +219,13 @@
                     for idempotency in &state.idempotencies {
                         match *idempotency {
                             Idempotency::Idempotent => {}
-                            Idempotency::NonIdempotent => panic!("an unsafe request sent twice"),
+                            Idempotency::NonIdempotent => panic!("a non-idempotent request sent twice"),
                             Idempotency::Deduplicated { scope, window } => {
-                                assert!(self.now <= first.sent_at + window, "past the window");
-                                // A rounding is allowed.
+                                assert!(
+                                    self.now <= first.sent_at + window,
+                                    "sent after the deduplication window"
+                                );
+                                // Allows for rounding.
                                 assert!(
                                     self.now + start_within
                                         <= first.sent_at + window + Duration::from_micros(1)
@@ -241,7 +246,7 @@
                 state.attempts.push(Attempt { upstream, sent_at: self.now, timeout_at, outcome: None });
             }
             Action::Refuse { request, .. } => {
-                let state = self.requests.get_mut(&request).expect("a request that it has");
+                let state = self.requests.get_mut(&request).expect("the request has been submitted");
                 state.final_answers += 1;
                 assert!(state.final_answers == 1 && !state.ended, "a second final answer");
                 let may_have_run =
@@ -252,22 +257,25 @@
                     }
                     Idempotency::Deduplicated { .. } | Idempotency::NonIdempotent => false,
                 });
-                assert!(safe_to_retry || !may_have_run, "refused though it may have run");
+                assert!(safe_to_retry || !may_have_run, "refused although it may have been executed");
             }
             Action::Fail { request } => {
-                let state = self.requests.get_mut(&request).expect("a request that it has");
+                let state = self.requests.get_mut(&request).expect("the request has been submitted");
                 state.final_answers += 1;
                 assert!(state.final_answers == 1 && !state.ended, "a second final answer");
             }
             Action::SetTimer(delay) => self.timer_at = Some(self.now + delay),
             Action::SubscribeToDiscovery => self.unsubscribed_since = Some(self.now),
             Action::CancelAttempt { request, attempt } => {
-                let state = self.requests.get(&request).expect("a request that it has");
-                assert!((attempt.0 as usize) < state.attempts.len(), "withdrew what was never sent");
+                let state = self.requests.get(&request).expect("the request has been submitted");
+                assert!(
+                    (attempt.0 as usize) < state.attempts.len(),
+                    "cancelled an attempt that was never sent"
+                );
             }
             Action::Probe { upstream } => {
-                assert!(self.settings.capabilities.probes, "a health check that is not allowed");
-                assert!(self.list.contains_key(&upstream), "checked one that no list has named");
+                assert!(self.settings.capabilities.probes, "sent a health check that is not permitted");
+                assert!(self.list.contains_key(&upstream), "checked an upstream that is not in the list");
             }
             Action::AbortPendingConnects { upstream } => {
                 assert!(self.requests.values().any(|state| {
@@ -282,7 +290,7 @@
         }
     }
 
-    /// Moves the clock step by step, with time-outs and sweeps as they fall due.
+    /// Advances the clock and delivers the time-outs of attempts and the timers as they become due.
     fn advance(&mut self, duration: Duration) {
         let end = self.now + duration;
         loop {
@@ -309,16 +317,17 @@
         for (id, state) in &self.requests {
             assert!(
                 state.ended || state.final_answers == 1 || self.now <= state.deadline + grace,
-                "{id:?} lost"
+                "{id:?} was not answered by its deadline"
             );
         }
     }
 
+    /// Checks that the replica has subscribed within the poll interval.
     fn check_poll_interval(&self) {
         if let (Some(since), Some(max_interval)) =
             (self.unsubscribed_since, self.settings.rules.max_poll_interval)
         {
-            assert!(self.now <= since + max_interval, "has not asked for the list in time");
+            assert!(self.now <= since + max_interval, "has not subscribed within the poll interval");
         }
     }
 
@@ -330,7 +339,7 @@
     }
 
     fn end_attempt(&mut self, request: RequestId, attempt: usize, outcome: Outcome) {
-        let state = self.requests.get_mut(&request).expect("held");
+        let state = self.requests.get_mut(&request).expect("the request has been submitted");
         state.attempts[attempt].outcome = Some(outcome);
         let duration = self.now - state.attempts[attempt].sent_at;
         state.ended |= outcome == Outcome::Good;
@@ -346,7 +355,10 @@
         }));
         let state = &self.requests[&request];
         let in_flight = state.attempts.iter().any(|attempt| attempt.outcome.is_none());
-        assert!(state.ended || state.final_answers == 1 || in_flight, "left without an attempt or an answer");
+        assert!(
+            state.ended || state.final_answers == 1 || in_flight,
+            "has neither an attempt in flight nor a final answer"
+        );
     }
 
     fn replace_list(&mut self, members: Vec<Member>, stale: bool) {
@@ -424,7 +436,7 @@
             Step::Abandon { index } => {
                 let ids: Vec<_> = self.requests.keys().copied().collect();
                 if let Some(id) = ids.get(index % ids.len().max(1)) {
-                    self.requests.get_mut(id).expect("held").ended = true;
+                    self.requests.get_mut(id).expect("the request has been submitted").ended = true;
                     self.handle(Event::RequestAbandoned(*id));
                 }
             }
@@ -450,8 +462,14 @@
 }
 
 proptest! {
-    #![proptest_config(ProptestConfig { cases: 300, failure_persistence: None, rng_seed: RngSeed::Fixed(7), ..ProptestConfig::default() })]
-
+    #![proptest_config(ProptestConfig {
+        cases: 300,
+        failure_persistence: None,
+        rng_seed: RngSeed::Fixed(7),
+        ..ProptestConfig::default()
+    })]
+
+    /// Guards against any action that breaks a rule, in random sequences of events.
     #[test]
     fn the_rules_hold_for_any_valid_sequence_of_events(
         seed in any::<u64>(),
@@ -466,7 +484,7 @@
         simulation.advance(millis(4000));
     }
 
-    /// Whatever the other upstreams do, a cold one gets no more than the budget of the rule.
+    /// Guards against overloading an upstream in slow start, whatever happens to the other upstreams.
     #[test]
     fn an_upstream_in_slow_start_never_gets_more_than_its_limit(
         seed in any::<u64>(),
@@ -482,7 +500,10 @@
         let rules = settings.rules.clone();
         let mut simulation = Simulation::new(settings, seed);
         let started_at = simulation.now;
-        let list = (0..8).map(|id| Member { started_at: (id < slow_start_count).then_some(started_at), ..member(id) });
+        let list = (0..8).map(|id| Member {
+            started_at: (id < slow_start_count).then_some(started_at),
+            ..member(id)
+        });
         simulation.replace_list(list.collect(), false);
         let mut sends: Vec<(Duration, u32)> = Vec::new();
         let mut changed = false;
@@ -490,34 +511,54 @@
             simulation.step(Step::Submit { class: 0, time_left_ms: 500 });
             for (id, attempt) in simulation.attempts_in_flight() {
                 sends.push((simulation.now, simulation.requests[&id].attempts[attempt].upstream.0));
-                let in_slow_start = simulation.requests[&id].attempts[attempt].upstream.0 < slow_start_count;
-                simulation.end_attempt(id, attempt, if refuse_in_slow_start && in_slow_start { Outcome::Refused } else { Outcome::Good });
+                let in_slow_start =
+                    simulation.requests[&id].attempts[attempt].upstream.0 < slow_start_count;
+                let refuse = refuse_in_slow_start && in_slow_start;
+                simulation.end_attempt(id, attempt, if refuse { Outcome::Refused } else { Outcome::Good });
             }
             simulation.advance(millis(interval_ms));
-            // One copy serves the whole tier here, before and after.
-            if let Some((new, _)) = settings_change.as_ref().filter(|(_, after_ms)| !changed && simulation.now >= started_at + millis(*after_ms)) {
+            // Here one replica sends all requests of the tier, before and after the change.
+            if let Some((new, _)) = settings_change
+                .as_ref()
+                .filter(|(_, after_ms)| !changed && simulation.now >= started_at + millis(*after_ms))
+            {
                 changed = true;
-                simulation.change_settings(&ChangeSettings { replica_count: 1, replica_index: 0, quota: None, ..new.clone() });
+                simulation.change_settings(&ChangeSettings {
+                    replica_count: 1,
+                    replica_index: 0,
+                    quota: None,
+                    ..new.clone()
+                });
             }
         }
         let window = rules.overload_duration;
         let sends_in_window = |id: u32, end: Duration| {
-            sends.iter().filter(|&&(sent_at, upstream)| upstream == id && sent_at <= end && sent_at + window > end).count() as f64
+            sends
+                .iter()
+                .filter(|&&(sent_at, upstream)| upstream == id && sent_at <= end && sent_at + window > end)
+                .count() as f64
         };
         for second in 2..6 {
             let end = started_at + millis(second * 1_000);
-            let max_warm_sends = (slow_start_count..8).map(|id| sends_in_window(id, end)).fold(0.0, f64::max);
+            let max_warm_sends =
+                (slow_start_count..8).map(|id| sends_in_window(id, end)).fold(0.0, f64::max);
             let age_s = (second as f64 - window.as_secs_f64()).max(0.0);
-            let capacity_fraction = rules.slow_start_min_fraction + (1.0 - rules.slow_start_min_fraction) * age_s / 20.0;
+            let capacity_fraction =
+                rules.slow_start_min_fraction + (1.0 - rules.slow_start_min_fraction) * age_s / 20.0;
             let max_sends = rules.overload_factor * capacity_fraction * max_warm_sends + 2.0;
             for id in 0..slow_start_count {
-                prop_assert!(sends_in_window(id, end) <= max_sends, "{} sent, budget {max_sends}", sends_in_window(id, end));
+                prop_assert!(
+                    sends_in_window(id, end) <= max_sends,
+                    "{} sent, maximum {max_sends}",
+                    sends_in_window(id, end)
+                );
             }
         }
     }
 }
 
-/// Equal settings, seeds and events give equal actions.
+/// Guards against any source of randomness other than the seed: equal settings, seeds and events must give
+/// equal actions.
 #[test]
 fn the_same_events_give_the_same_actions() {
     let run_events = || {
@@ -584,10 +625,10 @@
     );
 }
 
-/// Mistakes of the embedding program are answered or passed over, never a panic.
+/// Guards against panics on mistakes of the embedding program: they must be answered or ignored.
 #[test]
 fn unknown_classes_upstreams_and_requests_are_harmless() {
-    let mut balancer = Balancer::new(settings(false, false), 1).expect("the settings make sense");
+    let mut balancer = Balancer::new(settings(false, false), 1).expect("the settings are valid");
     let mut actions = Vec::new();
     balancer.handle(START, Event::Discovery(DiscoveryUpdate::Full(Vec::new())), &mut actions);
     let request = Request {
@@ -606,7 +647,7 @@
     let request = Request { class: ClassId(0), time_left: millis(900), ..request };
     balancer.handle(START, Event::Request(request), &mut actions);
     balancer.handle(START, Event::Request(request), &mut actions);
-    assert_eq!(actions.len(), 1, "an id in use is not taken twice");
+    assert_eq!(actions.len(), 1, "a request with an id in use is ignored");
     actions.clear();
     for id in [7, 8] {
         balancer.handle(START, Event::RequestAbandoned(RequestId(id)), &mut actions);
@@ -632,8 +673,8 @@
     assert!(actions.iter().all(|action| matches!(action, Action::CancelAttempt { .. })));
 }
 
-/// Upstreams of zones that the settings do not name need not share one: what may have run at the first is not
-/// repeated at the second, as if 'unknown' were a zone of its own.
+/// Guards against treating 'unknown' as a zone: upstreams whose zones are not in the settings may be in
+/// different ones, so a request that may have been executed by one of them must not be retried at another.
 #[test]
 fn upstreams_of_unknown_zones_do_not_share_a_zone() {
     let deduplicated = Idempotency::Deduplicated { scope: DedupScope::Zone, window: millis(5000) };
@@ -662,8 +703,9 @@
     assert!(!has_send(&actions) && actions.contains(&Action::Fail { request: RequestId(1) }), "{actions:?}");
 }
 
-/// Guards drains where lists are pushed: what is told counts whether or not a copy has a subscription, so that one
-/// that broke is had again at the next sweep, also after many failures. Where copies ask, they come back apart.
+/// Guards against missed drains where lists are pushed: changes count as delivered even without a
+/// subscription, so a failed one must be reopened at the next periodic update, even after many failures.
+/// Where replicas must poll discovery, they retry with a backoff.
 #[test]
 fn a_failed_subscription_to_pushed_lists_is_retried_without_backoff() {
     for (max_poll_interval, retries_at_every_update) in [(None, true), (Some(millis(10_000)), false)] {
@@ -674,7 +716,7 @@
         let mut subscriptions = 0;
         for _ in 0..6 {
             let mut actions = harness.handle(Event::Discovery(DiscoveryUpdate::Failed));
-            // A sweep comes five times a second.
+            // There are five periodic updates per second.
             harness.now += millis(200);
             actions.extend(harness.handle(Event::TimerFired));
             subscriptions += actions.iter().filter(|action| **action == Action::SubscribeToDiscovery).count();
@@ -682,13 +724,14 @@
         assert_eq!(
             subscriptions == 6,
             retries_at_every_update,
-            "asked {subscriptions} times where asking is due within {max_poll_interval:?}"
+            "subscribed {subscriptions} times with a poll interval of {max_poll_interval:?}"
         );
     }
 }
 
-/// The grace may be shorter than a sweep: a watch on pushed lists that stood and breaks is asked for anew at once, one
-/// that breaks again before its first word at the next sweep.
+/// Guards against missed drains if the drain grace is shorter than the time between periodic updates: a lost
+/// subscription to pushed lists must be reopened at once, and one that fails before its first update at the
+/// next periodic update.
 #[test]
 fn a_lost_subscription_to_pushed_lists_is_reopened_immediately() {
     let mut settings = settings(false, true);
--- a/tests/suppressor.rs
+++ b/tests/suppressor.rs
@@ -1,4 +1,4 @@
-//! The suppressor against the figures of the source page, and its learned limit.
+//! Tests of the suppressor against the probabilities of its source page, and of the learned limits.
 
 mod common;
 
@@ -6,8 +6,8 @@
 use stilelead_decision::interface::*;
 use stilelead_decision::{Action, Event, Settings};
 
-/// A first-tier copy whose only tenant is held to 10 calls a second: a third of 25 and a standard
-/// deviation of its chance over the window.
+/// A first-tier replica whose only tenant is limited to 10 requests per second: its quota of 25/3 plus one
+/// standard deviation of the random variation over the window.
 fn limited_to_10_per_s() -> Harness {
     let mut settings = Settings::single_zone(vec![class(Idempotency::Idempotent)]);
     settings.tenants = vec![Tenant { quota: Some(25.0 / 3.0) }];
@@ -15,7 +15,8 @@
     Harness::new(settings, 5, (0..4).map(member).collect())
 }
 
-/// Offers `rate` calls a second for `seconds`; the part that is admitted after `warm_up` seconds.
+/// Submits requests at the given rate for `duration_s` seconds. Returns the fraction that is admitted after
+/// the first `warm_up_s` seconds.
 fn admitted_fraction(
     harness: &mut Harness,
     requests_per_s: f64,
@@ -43,8 +44,9 @@
     assert_eq!(admitted_fraction(&mut limited_to_10_per_s(), 8.0, 10.0, 60.0, Outcome::Good), 1.0);
 }
 
-/// The page's probabilities, limit over rate, hold once the window is at its soft limit; while chance
-/// keeps it below, all pass, so that a little more than the page's figure gets through.
+/// Guards against wrong admission probabilities. The source page gives limit over rate, which applies while
+/// the window is at its soft limit; when random variation keeps it below, all requests are admitted, so
+/// slightly more are admitted than the page says.
 #[test]
 fn admission_probabilities_match_the_source_page() {
     for (requests_per_s, expected) in [(12.0, 0.833), (14.0, 0.714), (15.0, 0.667), (50.0, 0.2)] {
@@ -75,21 +77,26 @@
         denied += u32::from(is_refused(&actions));
     }
     assert!(denied > 100);
-    // Were denied calls counted as accepted, the window would stay over its soft limit for good.
+    // If denied requests counted as accepted, the window would stay above its soft limit forever.
     assert!(admitted_fraction(&mut harness, 9.5, 4.0, 20.0, Outcome::Good) > 0.95);
 }
 
-/// Found on the first days: every copy of a fresh fleet let seconds of overload through while its
-/// window was filling, and the servers choked.
+/// Guards against overload after the start of a fleet: all replicas admitted seconds of overload while their
+/// windows were filling, and the servers stopped serving.
 #[test]
 fn a_replica_that_has_just_started_does_not_admit_a_window_of_overload() {
     let mut harness = limited_to_10_per_s();
     let admitted_in_first_second = admitted_fraction(&mut harness, 50.0, 0.0, 1.0, Outcome::Good) * 50.0;
-    // A second's worth and what passes while the last second fills; with a whole window it were 35.
-    assert!(admitted_in_first_second <= 28.0, "{admitted_in_first_second} calls in the first second");
+    // One second of the limit plus what is admitted while the first second fills. Dividing by the whole
+    // window would admit 35.
+    assert!(
+        admitted_in_first_second <= 28.0,
+        "{admitted_in_first_second} requests admitted in the first second"
+    );
 }
 
-/// A fair share is kept through common trouble, gives way in a jam, and comes back after it.
+/// Guards against limits that fall below the fair share because of ordinary failures, or that do not recover
+/// from an overload.
 #[test]
 fn a_limit_falls_below_the_fair_share_only_in_overload_and_recovers() {
     let mut harness = limited_to_10_per_s();
@@ -98,17 +105,17 @@
     for request in 0..200 {
         harness.advance(interval);
         let (id, actions) = harness.submit(Some(0));
-        assert!(sent_to(&actions).is_some(), "denied inside its share");
+        assert!(sent_to(&actions).is_some(), "denied within the fair share");
         harness.end_attempt(id, 0, if request % 5 == 0 { Outcome::Reset } else { Outcome::Good }, millis(20));
     }
     let congested_fraction = admitted_fraction(&mut harness, 9.5, 15.0, 30.0, Outcome::TimedOut);
-    assert!(congested_fraction < 0.5, "{congested_fraction} admitted in a jam");
+    assert!(congested_fraction < 0.5, "{congested_fraction} admitted in overload");
     let recovered_fraction = admitted_fraction(&mut harness, 8.5, 15.0, 25.0, Outcome::Good);
-    assert!(recovered_fraction > 0.95, "{recovered_fraction} admitted after it");
+    assert!(recovered_fraction > 0.95, "{recovered_fraction} admitted after the overload");
 }
 
-/// Found on the quiet day of a deployment: single refusals cut the limits below the first tier, and
-/// a call denied there fails the whole request above.
+/// Guards against limits that are lowered by single rejections, as seen under low load at a deployment: a
+/// request denied below the first tier makes the whole request above it fail.
 #[test]
 fn single_rejections_do_not_lower_a_limit() {
     let mut settings = Settings::single_zone(vec![class(Idempotency::Idempotent)]);
@@ -118,19 +125,20 @@
     for request in 0..2000 {
         harness.advance(millis(20));
         let (id, mut actions) = harness.submit(Some(0));
-        assert!(sent_to(&actions).is_some(), "call {request} denied");
+        assert!(sent_to(&actions).is_some(), "request {request} denied");
         let mut attempt = 0;
         if request % 20 == 0 {
             actions = harness.end_attempt(id, attempt, Outcome::Refused, millis(1));
-            assert!(sent_to(&actions).is_some(), "call {request} not sent elsewhere");
+            assert!(sent_to(&actions).is_some(), "request {request} not rerouted");
             attempt += 1;
         }
         harness.end_attempt(id, attempt, Outcome::Good, millis(20));
     }
 }
 
-/// A copy whose tenant has been let to climb well over its part, offered 14 calls a second of which
-/// every fourth is first rejected `refusals` times; the calls denied in 20 s.
+/// Submits 14 requests per second for 20 s to a replica whose limit has risen well above its fair share.
+/// Every fourth request is first rejected with `outcome` `rejections_per_request` times; the others are
+/// served in `duration_ms`. Returns how many are denied.
 fn denied_after_rejections(rejections_per_request: u32, outcome: Outcome, duration_ms: u64) -> u32 {
     let mut settings = Settings::single_zone(vec![class(Idempotency::Idempotent)]);
     settings.tenants = vec![Tenant { quota: Some(25.0 / 3.0) }];
@@ -153,8 +161,8 @@
     denied
 }
 
-/// Found in an incident: behind a broken link a third of the connects failed, the calls went elsewhere
-/// and were served, yet the limits dropped.
+/// Guards against limits lowered by failures that do no harm, as in an incident: behind a broken link a third
+/// of the connects failed, and the requests were rerouted and served.
 #[test]
 fn rerouted_requests_that_are_served_do_not_lower_the_limit() {
     assert_eq!(denied_after_rejections(0, Outcome::Refused, 20), 0);
@@ -162,8 +170,8 @@
     assert_eq!(denied_after_rejections(1, Outcome::ConnectFailed, 20), 0);
 }
 
-/// Found on zone+brink: calls that were late because a connection had not come up, and were then served at once
-/// elsewhere, passed for congestion and cut the limits.
+/// Guards against taking a failed connect for congestion, as found on test day zone+brink: requests missed
+/// their target because a connection did not open, although another upstream then served them at once.
 #[test]
 fn requests_delayed_by_a_failed_connect_do_not_lower_the_limit() {
     let mut settings = Settings::single_zone(vec![class(Idempotency::Idempotent)]);
@@ -179,11 +187,11 @@
         {
             pending_connects.pop_front();
             let actions = harness.end_attempt(id, 0, Outcome::ConnectFailed, millis(1100));
-            assert!(sent_to(&actions).is_some(), "not sent elsewhere");
+            assert!(sent_to(&actions).is_some(), "not rerouted");
             harness.end_attempt(id, 1, Outcome::Good, millis(20));
         }
         let (id, actions) = harness.submit(Some(0));
-        assert!(sent_to(&actions).is_some(), "call {request} denied");
+        assert!(sent_to(&actions).is_some(), "request {request} denied");
         if request % 4 == 0 {
             pending_connects.push_back((id, harness.now + millis(1100)));
         } else {
@@ -192,8 +200,9 @@
     }
 }
 
-/// Found on zone+brink: a third of the connects failed, here and there, and upstreams that answered all the while on
-/// other connections were taken for lost, most of them at a time; the limits shrank with the tier.
+/// Guards against ejecting upstreams because of occasional connect failures, as found on test day zone+brink:
+/// a third of the connects failed, and most upstreams at a time counted as unreachable although they answered
+/// on other connections, so the limits shrank as if the tier were smaller.
 #[test]
 fn occasional_connect_failures_do_not_lower_the_limits() {
     let mut settings = Settings::single_zone(vec![class(Idempotency::Idempotent)]);
@@ -208,12 +217,13 @@
             *sends += 1;
             (if *sends % 3 == 0 { Outcome::ConnectFailed } else { Outcome::Good }, millis(10))
         });
-        assert!(!tried.is_empty(), "call {request} denied");
+        assert!(!tried.is_empty(), "request {request} denied");
     }
 }
 
-/// Calls denied in 60 s at 9 a second, beside calls that took 20 ms before and now take `took`; every `errors`-th of
-/// them, if not 0, ends in an error.
+/// Submits 9 requests per second for 60 s that are served in `duration_ms`, after a typical latency of 20 ms.
+/// If `error_every` is not 0, every request whose number is a multiple of it ends with an error. Returns how
+/// many are denied.
 fn denied_with_errors(error_every: u32, duration_ms: u64) -> u32 {
     let mut settings = Settings::single_zone(vec![class(Idempotency::NonIdempotent)]);
     settings.tenants = vec![Tenant { quota: Some(25.0 / 3.0) }];
@@ -235,8 +245,9 @@
     denied
 }
 
-/// Found on zone+brink: a fifth of the calls failed below for faults, beside servers with next to nothing in flight
-/// that served the others as fast as ever, and the limits were cut to their floors. In an overload errors count.
+/// Guards against taking faults for congestion, as found on test day zone+brink: a fifth of the requests
+/// failed because of faults further down, while nearly idle servers served the others as fast as before, and
+/// the limits fell to their floors. If latency rises as well, errors do count as congestion.
 #[test]
 fn errors_without_slower_responses_do_not_lower_the_limit() {
     assert_eq!(denied_with_errors(5, 20), 0);
@@ -244,33 +255,37 @@
     assert!(denied_with_errors(5, 28) > denied_without_errors + 20, "{denied_without_errors}");
 }
 
-/// Servers that refused two attempts in five told the limits nothing, since the calls went elsewhere.
+/// Guards against ignoring rejections: servers rejected two of five attempts without any effect on the
+/// limits, because the requests were rerouted.
 #[test]
 fn two_rejections_of_the_same_request_lower_the_limit() {
     assert!(denied_after_rejections(2, Outcome::Refused, 20) > 10);
 }
 
-/// An aim of four usual latencies shows congestion only after the servers have choked.
+/// Guards against noticing congestion too late: a target of four typical latencies is missed only after the
+/// servers have stopped serving.
 #[test]
 fn latencies_far_above_typical_lower_the_limit_before_the_target_is_missed() {
     assert!(denied_after_rejections(0, Outcome::Refused, 150) > 10);
 }
 
-/// Found at full size with 644 copies: a soft limit of a third of a call let a whole one a window through.
+/// Guards against rounding small limits up, as found with a fleet of 644 replicas: a soft limit of a third of
+/// a request admitted a whole one per window.
 #[test]
 fn a_limit_below_one_request_per_window_is_enforced() {
     let mut settings = Settings::single_zone(vec![class(Idempotency::Idempotent)]);
     settings.replica_count = 400;
-    // The most that a copy of so many may need of it is 0.05 a second.
+    // With so many replicas, each may need at most 0.05 of it per second.
     settings.tenants = vec![Tenant { quota: Some(20.0 / f64::ln(400.0)) }];
     settings.over_quota_value = 0.0;
     let mut harness = Harness::new(settings, 5, (0..4).map(member).collect());
-    // The part is 0.05 a second, 0.18 with its chance.
+    // The rate is 0.05 per second, or 0.18 with the margin for random variation.
     let admitted = admitted_fraction(&mut harness, 1.0, 10.0, 400.0, Outcome::Good);
-    assert!(admitted < 0.3, "{admitted} of a call a second");
+    assert!(admitted < 0.3, "{admitted} requests per second admitted");
 }
 
-/// A small tenant's own calls are too few to tell of a jam in time.
+/// Guards against judging congestion by one tenant alone: the requests of a small tenant are too few to show
+/// it in time.
 #[test]
 fn congestion_met_by_one_tenant_lowers_all_limits() {
     let mut settings = Settings::single_zone(vec![class(Idempotency::Idempotent)]);
@@ -288,12 +303,13 @@
     let small_tenant_fraction = admitted_fraction(&mut harness, 20.0, 0.0, 1.5, Outcome::Good);
     assert!(
         small_tenant_fraction < 0.6,
-        "{small_tenant_fraction} of the small tenant's calls admitted in a jam"
+        "{small_tenant_fraction} of the small tenant's requests admitted under congestion"
     );
 }
 
-/// Found in an incident: the chance allowed to each of many small limits added up to a fifth more than the
-/// tier could do, and the limits of single tenants never fell under it while less than a jam was seen.
+/// Guards against the sum of many small limits exceeding the capacity, as in an incident: the margins for
+/// random variation added up to a fifth more than the tier could serve, and without overload the limits of
+/// single tenants never fell below them.
 #[test]
 fn congestion_limits_all_tenants_together_to_their_fair_shares() {
     let mut settings = Settings::single_zone(vec![class(Idempotency::Idempotent)]);
@@ -311,15 +327,16 @@
         }
     }
     let (rate_before, rate_in_congestion) = (f64::from(admitted[0]) / 40.0, f64::from(admitted[1]) / 80.0);
-    assert!(rate_before > 12.5, "{rate_before} a second before any congestion");
+    assert!(rate_before > 12.5, "{rate_before} per second before congestion");
     assert!(
         rate_in_congestion < rate_before - 0.7,
-        "{rate_in_congestion} a second in congestion, 12 are fair, {rate_before} before"
+        "{rate_in_congestion} per second under congestion, fair share 12, {rate_before} before"
     );
 }
 
-/// Found in an incident: a third of a tier died, the quotas stayed what they were, and the survivors choked. While
-/// no congestion is met they may carry half as much again as their part, but not several times it.
+/// Guards against overloading what is left of a tier, as in an incident: a third of the upstreams were lost,
+/// the quotas stayed the same, and the rest were overloaded. Without congestion they may carry half as much
+/// again as their part, but not several times as much.
 #[test]
 fn the_limits_shrink_with_the_tier() {
     let mut settings = Settings::single_zone(vec![class(Idempotency::Idempotent)]);
@@ -342,11 +359,12 @@
     assert_eq!(count_admitted(&mut harness), 900);
     harness.handle(Event::Discovery(DiscoveryUpdate::Full((0..2).map(member).collect())));
     let admitted = count_admitted(&mut harness);
-    assert!(admitted < 900 * 85 / 100, "{admitted} of 900 passed to a quarter of a tier");
+    assert!(admitted < 900 * 85 / 100, "{admitted} of 900 requests admitted with a quarter of the tier left");
 }
 
-/// Found in an incident: a copy that saw 200 calls a second took three times the latency for the custom
-/// within eight seconds, and let the servers choke.
+/// Guards against learning the latency under congestion as typical, as in an incident: a replica with 200
+/// requests per second took three times the latency for typical within eight seconds, and the servers were
+/// overloaded.
 #[test]
 fn a_busy_replica_does_not_learn_congested_latency_as_typical() {
     let mut settings = Settings::single_zone(vec![class(Idempotency::Idempotent)]);
@@ -368,16 +386,17 @@
     count_admitted(&mut harness, 2000, 20);
     count_admitted(&mut harness, 1000, 60);
     let admitted = count_admitted(&mut harness, 500, 60);
-    assert!(admitted < 400, "{admitted} of 500 passed in congestion");
+    assert!(admitted < 400, "{admitted} of 500 requests admitted under congestion");
 }
 
-/// Found on an overloaded day: clients that retried at once wore down a die cast for each call, and nearly
-/// every part of a call became a whole one.
+/// Guards against a new random draw for each request, as found on a test day with overload: clients that
+/// retried at once were admitted after a few draws, so that nearly every fraction of a request became a whole
+/// one.
 #[test]
 fn client_retries_do_not_raise_the_admitted_rate_of_a_fractional_limit() {
     let mut settings = Settings::single_zone(vec![class(Idempotency::Idempotent)]);
     settings.replica_count = 100;
-    // The most that a copy of so many may need of each is 0.04 a second.
+    // With so many replicas, each may need at most 0.04 of each tenant's quota per second.
     settings.tenants = vec![Tenant { quota: Some(4.0 / f64::ln(100.0)) }; 4];
     settings.over_quota_value = 0.0;
     let (mut admitted, replica_count) = (0, 40);
@@ -392,13 +411,14 @@
             }
         }
     }
-    // Allowed are 0.16 calls a second; with a die for each call they were 0.64.
+    // 0.16 requests per second are allowed; with a draw for each request, 0.64 were admitted.
     let requests_per_s = f64::from(admitted) / replica_count as f64 / 10.0;
-    assert!(requests_per_s < 0.4, "{requests_per_s} calls a second a copy");
+    assert!(requests_per_s < 0.4, "{requests_per_s} requests per second admitted by each replica");
 }
 
-/// Found on r7909: the calls of one tenant that waited for a fraction of the usual time failed, were taken for
-/// congestion, and had the limits of all tenants cut to their floors.
+/// Guards against taking short deadlines for congestion, as found on test day r7909: the requests of one
+/// tenant, which waits for a fraction of the typical latency, failed, and the limits of all tenants fell to
+/// their floors.
 #[test]
 fn requests_with_short_deadlines_do_not_lower_the_limits_of_other_tenants() {
     for outcome in [Outcome::Error, Outcome::TimedOut] {
@@ -410,11 +430,11 @@
             let (id, actions) = harness.submit(Some(0));
             assert!(
                 sent_to(&actions).is_some(),
-                "call {request} denied beside calls that ended in {outcome:?}"
+                "request {request} denied while requests of the other tenant ended with {outcome:?}"
             );
             harness.advance(millis(100));
             harness.end_attempt(id, 0, Outcome::Good, millis(100));
-            // The usual time is known by then.
+            // By then the typical latency is known.
             if request >= 100 {
                 let (id, mut actions) = harness.submit_with_time_left(Some(1), millis(50));
                 let mut attempt = 0;
@@ -429,8 +449,9 @@
     }
 }
 
-/// Found on r7000: after a drop nobody was admitted until the window had forgotten what the old limit let in,
-/// for more than a second beside idle servers.
+/// Guards against denying all requests after a decrease, as found on test day r7000: until the requests
+/// admitted under the old limit had left the window, nothing was admitted for more than a second although
+/// servers were idle.
 #[test]
 fn a_decrease_does_not_deny_all_requests_until_the_window_has_passed() {
     for seed in 0..20 {
@@ -452,12 +473,13 @@
                 harness.end_attempt(id, 0, outcome, millis(duration_ms));
             }
         }
-        assert!(longest_gap <= millis(500), "seed {seed}: nobody was admitted for {longest_gap:?}");
+        assert!(longest_gap <= millis(500), "seed {seed}: no request was admitted for {longest_gap:?}");
     }
 }
 
-/// Found on the simulator's overload day: told to stay away for the longest that clients honour, which may be
-/// longer than they wait at all, those refused never came back in time.
+/// Guards against a retry-after time that is too long, as found on the simulator's overload day: refused
+/// clients were given the longest time that they honour, which may exceed their deadline, and never retried
+/// in time.
 #[test]
 fn retry_after_leaves_time_to_be_served() {
     for (max_retry_after_ms, expected_retry_after_ms) in
@@ -465,26 +487,27 @@
     {
         let mut settings = Settings::single_zone(vec![class(Idempotency::Idempotent)]);
         settings.capabilities.max_retry_after = max_retry_after_ms.map(millis);
-        // Nobody to send to: the module gives up at once.
+        // Without upstreams, the request is refused at once.
         let mut harness = Harness::new(settings, 5, Vec::new());
         let (request, actions) = harness.submit(None);
         assert_eq!(actions, [Action::Refuse { request, retry_after: expected_retry_after_ms.map(millis) }]);
     }
 }
 
-/// Found on a long day: what a call usually takes was learned downwards at full speed in congestion and upwards at a
-/// tenth of it, and long calls counted for more in congestion than in what was learned. Each time it left it lower, until
-/// calls like all others were taken for congestion for good.
+/// Guards against a typical latency that falls with each congestion, as found on a long test day: under
+/// congestion it was learned downwards at full speed and upwards at a tenth of that, and long requests
+/// counted more as congestion than in the typical latency. In the end, ordinary requests permanently counted
+/// as congestion.
 #[test]
 fn past_congestion_does_not_bias_the_typical_latency() {
-    // Ten parts of a spread as wide as that of real work, in a fixed disorder.
+    // Ten latencies that vary as widely as real work does, in a fixed irregular order.
     let latencies_ms = [25, 3, 110, 40, 10, 200, 6, 65, 16, 30];
     let mut harness = limited_to_10_per_s();
     let mut denied = 0;
     for request in 0..8 * 1200 {
         harness.advance(millis(125));
         let (id, actions) = harness.submit(Some(0));
-        // One minute in five is congested, the last three are not.
+        // One minute in five is congested; the last three minutes are not.
         let congestion = request / (8 * 60) % 5 == 1;
         if sent_to(&actions).is_some() {
             let duration_ms = latencies_ms[request % latencies_ms.len()];
@@ -498,11 +521,12 @@
             denied += u32::from(request >= 8 * 1140);
         }
     }
-    assert!(denied < 10, "{denied} of 480 calls denied beside idle servers");
+    assert!(denied < 10, "{denied} of 480 requests denied without congestion");
 }
 
-/// Found on the fleet's days: six of 55 copies had two fifths of the calls, were held to a fair share of the quotas
-/// each, and denied most of theirs, though all copies together were well within the quotas and met no congestion.
+/// Guards against limiting each replica to its fair share, as found in tests of a whole fleet: six of 55
+/// replicas received two fifths of the requests and denied most of them, although all replicas together were
+/// well within the quotas and there was no congestion.
 #[test]
 fn replicas_with_several_times_the_mean_load_serve_what_the_quotas_allow() {
     let mut settings = Settings::single_zone(vec![class(Idempotency::Idempotent)]);
@@ -513,7 +537,7 @@
     for replica_index in 0..settings.replica_count {
         settings.replica_index = replica_index;
         let mut harness = Harness::new(settings.clone(), replica_index.into(), (0..8).map(member).collect());
-        // A part is 20 a second; five copies are offered 50, the others 10.
+        // A fair share is 20 requests per second; five replicas receive 50, the others 10.
         let interval = if replica_index < 5 { millis(20) } else { millis(100) };
         let end = harness.now + millis(10_000);
         while harness.now < end {
@@ -527,12 +551,13 @@
             }
         }
     }
-    assert!(offered < 500 * 2 * 10, "{offered} calls, more than the quotas");
-    assert!(denied < offered / 50, "{denied} of {offered} calls denied");
+    assert!(offered < 500 * 2 * 10, "{offered} requests submitted, which exceeds the quotas");
+    assert!(denied < offered / 50, "{denied} of {offered} requests denied");
 }
 
-/// Found on the fleet's days: after congestion, copies that need several fair shares of the quotas climbed back from one
-/// at 5% a second, and denied calls beside idle servers for the rest of the day.
+/// Guards against slow recovery after congestion, as found in tests of a whole fleet: replicas that need
+/// several fair shares of the quotas recovered from one fair share at 5% per second, and denied requests
+/// beside idle servers for the rest of the day.
 #[test]
 fn replicas_with_several_times_the_mean_load_recover_soon_after_congestion() {
     let mut settings = Settings::single_zone(vec![class(Idempotency::Idempotent)]);
@@ -542,7 +567,7 @@
     for replica_index in 0..5 {
         let settings = Settings { replica_index, ..settings.clone() };
         let mut harness = Harness::new(settings, replica_index.into(), (0..8).map(member).collect());
-        // A part is 20 a second; 50 are offered. Seconds 5 to 8 are congested.
+        // A fair share is 20 requests per second; 50 are submitted. Seconds 5 to 8 are congested.
         let (mut denied_in_congestion, mut denied_after_congestion) = (0, 0);
         for request in 0..50 * 24 {
             harness.advance(millis(20));
@@ -561,7 +586,10 @@
                 denied_after_congestion += u32::from(second >= 20);
             }
         }
-        assert!(denied_in_congestion > 50, "{denied_in_congestion} of 150 calls denied in congestion");
-        assert!(denied_after_congestion < 50, "{denied_after_congestion} of 200 calls denied 12 s after it");
+        assert!(denied_in_congestion > 50, "{denied_in_congestion} of 150 requests denied under congestion");
+        assert!(
+            denied_after_congestion < 50,
+            "{denied_after_congestion} of 200 requests denied 12 s after the congestion"
+        );
     }
 }
