--- a/simulator/src/host.rs
+++ b/simulator/src/host.rs
@@ -342,8 +342,8 @@
 }
 
 impl LineResult {
-    fn from_write(result: io::Result<()>, done: Self) -> Self {
-        result.map_or_else(Self::OutputFailed, |()| done)
+    fn from_write(result: io::Result<()>, on_success: Self) -> Self {
+        result.map_or_else(Self::OutputFailed, |()| on_success)
     }
 }
 
--- a/simulator/src/setup.rs
+++ b/simulator/src/setup.rs
@@ -29,33 +29,37 @@
     },
 }
 
-/// The settings object as written in JSON. The field names of this and the following structs are the JSON
-/// keys; [`parse_settings`] maps them to the terms of the decision library.
+/// The settings object as written in JSON. The fields of this and the following types have the names that the
+/// decision library uses; where a JSON key differs, an attribute gives it.
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
 struct SettingsJson {
-    balancers: u32,
-    me: u32,
+    #[serde(rename = "balancers")]
+    replica_count: u32,
+    #[serde(rename = "me")]
+    replica_index: u32,
     #[serde(default)]
     tier: usize,
     zone: String,
     zones: Vec<String>,
-    #[serde(default)]
-    kinds: Vec<String>,
-    lanes: Vec<ClassJson>,
-    #[serde(default)]
-    projects: Vec<TenantJson>,
-    #[serde(default = "default_over_share_worth")]
-    over_share_worth: f64,
+    #[serde(rename = "kinds", default)]
+    machine_types: Vec<String>,
+    #[serde(rename = "lanes")]
+    classes: Vec<ClassJson>,
+    #[serde(rename = "projects", default)]
+    tenants: Vec<TenantJson>,
+    #[serde(rename = "overShareWorth", default = "default_over_quota_value")]
+    over_quota_value: f64,
     discovery: DiscoveryJson,
-    #[serde(default)]
-    family_info: FamilyInfoJson,
-    caps: CapabilitiesJson,
+    #[serde(rename = "familyInfo", default)]
+    inter_tier_calls: InterTierCallsJson,
+    #[serde(rename = "caps")]
+    capabilities: CapabilitiesJson,
     rules: RulesJson,
-    #[serde(default)]
-    prices: CostsJson,
-    #[serde(default)]
-    load_info: LoadInfoJson,
+    #[serde(rename = "prices", default)]
+    costs: CostsJson,
+    #[serde(rename = "loadInfo", default)]
+    load_reports: LoadReportsJson,
 }
 
 /// A class of requests, an element of `lanes`.
@@ -63,15 +67,18 @@
 #[serde(rename_all = "camelCase")]
 struct ClassJson {
     name: String,
-    on_time_s: f64,
-    hard_limit_s: f64,
-    #[serde(default)]
-    late_worth: f64,
-    effect: IdempotencyJson,
+    #[serde(rename = "onTimeS")]
+    latency_target_s: f64,
+    #[serde(rename = "hardLimitS")]
+    deadline_s: f64,
+    #[serde(rename = "lateWorth", default)]
+    late_value: f64,
+    #[serde(rename = "effect")]
+    idempotency: IdempotencyJson,
     #[serde(default)]
     dedup_scope: Option<String>,
-    #[serde(default)]
-    window_s: Option<f64>,
+    #[serde(rename = "windowS", default)]
+    dedup_window_s: Option<f64>,
 }
 
 /// Whether requests of a class may be executed more than once.
@@ -80,14 +87,16 @@
 enum IdempotencyJson {
     Idempotent,
     Deduplicated,
-    AtMostOnce,
+    #[serde(rename = "at_most_once")]
+    NonIdempotent,
 }
 
 /// How lists of upstreams arrive: pushed (`automatic`) or by subscription.
 #[derive(Deserialize)]
 #[serde(rename_all = "lowercase")]
 enum DiscoveryJson {
-    Automatic,
+    #[serde(rename = "automatic")]
+    Push,
     Subscribe,
 }
 
@@ -103,49 +112,55 @@
 /// What calls from tier to tier carry.
 #[derive(Deserialize, Default)]
 #[serde(rename_all = "camelCase", default)]
-struct FamilyInfoJson {
-    passes_deadline: bool,
+struct InterTierCallsJson {
+    #[serde(rename = "passesDeadline")]
+    propagate_deadline: bool,
 }
 
 /// What the site supports and permits.
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
 struct CapabilitiesJson {
-    try_limit: u32,
-    #[serde(default)]
-    second_copies: bool,
-    #[serde(default)]
-    cancel: bool,
-    #[serde(default)]
-    may_probe: bool,
-    #[serde(default)]
-    may_tell: bool,
-    #[serde(default)]
-    retry_after: bool,
+    #[serde(rename = "tryLimit")]
+    max_attempts: u32,
+    #[serde(rename = "secondCopies", default)]
+    hedging: bool,
+    #[serde(rename = "cancel", default)]
+    cancellation: bool,
+    #[serde(rename = "mayProbe", default)]
+    probes: bool,
+    #[serde(rename = "mayTell", default)]
+    peer_messages: bool,
+    #[serde(rename = "retryAfter", default)]
+    send_retry_after: bool,
     #[serde(default)]
     max_retry_after_s: f64,
-    #[serde(default = "default_keepalive_s")]
-    keepalive_s: f64,
-    #[serde(default = "default_multiplex")]
-    multiplex: u32,
-    #[serde(default = "default_dial_timeout_s")]
-    dial_timeout_s: f64,
+    #[serde(rename = "keepaliveS", default = "default_keepalive_timeout_s")]
+    keepalive_timeout_s: f64,
+    #[serde(rename = "multiplex", default = "default_max_concurrent_streams")]
+    max_concurrent_streams: u32,
+    #[serde(rename = "dialTimeoutS", default = "default_connect_timeout_s")]
+    connect_timeout_s: f64,
 }
 
 /// Parameters of the rules that the site enforces.
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
 struct RulesJson {
-    #[serde(default)]
-    answer_slack_s: f64,
+    #[serde(rename = "answerSlackS", default)]
+    deadline_grace_s: f64,
     #[serde(default)]
     drain_grace_s: f64,
-    #[serde(default)]
-    ask_within_s: Option<f64>,
-    cold_share: f64,
-    cold_s: f64,
-    fall_multiple: f64,
-    overload_for_s: f64,
+    #[serde(rename = "askWithinS", default)]
+    max_poll_interval_s: Option<f64>,
+    #[serde(rename = "coldShare")]
+    slow_start_min_fraction: f64,
+    #[serde(rename = "coldS")]
+    slow_start_duration_s: f64,
+    #[serde(rename = "fallMultiple")]
+    overload_factor: f64,
+    #[serde(rename = "overloadForS")]
+    overload_duration_s: f64,
 }
 
 /// Costs to weigh when choosing an upstream.
@@ -153,8 +168,10 @@
 #[serde(rename_all = "camelCase", default)]
 struct CostsJson {
     cross_zone: f64,
-    waste: f64,
-    late_fail: f64,
+    #[serde(rename = "waste")]
+    wasted_work: f64,
+    #[serde(rename = "lateFail")]
+    late_failure: f64,
     handshake: f64,
     probe: f64,
 }
@@ -162,23 +179,23 @@
 /// What load reports contain.
 #[derive(Deserialize, Default)]
 #[serde(rename_all = "camelCase", default)]
-struct LoadInfoJson {
+struct LoadReportsJson {
     fields: Vec<String>,
 }
 
-fn default_over_share_worth() -> f64 {
+fn default_over_quota_value() -> f64 {
     1.0
 }
 
-fn default_keepalive_s() -> f64 {
+fn default_keepalive_timeout_s() -> f64 {
     15.0
 }
 
-fn default_dial_timeout_s() -> f64 {
+fn default_connect_timeout_s() -> f64 {
     0.25
 }
 
-fn default_multiplex() -> u32 {
+fn default_max_concurrent_streams() -> u32 {
     100
 }
 
@@ -230,70 +247,70 @@
     let zones = index_by_name("zones", json.zones.iter())?;
     let zone = *zones.get(&json.zone).ok_or_else(|| invalid_value("zone", &json.zone))?;
     let names = Names {
-        classes: index_by_name("lanes", json.lanes.iter().map(|class| &class.name))?,
-        tenants: index_by_name("projects", json.projects.iter().map(|tenant| &tenant.name))?,
-        machine_types: index_by_name("kinds", json.kinds.iter())?,
-        load_fields: json.load_info.fields,
+        classes: index_by_name("lanes", json.classes.iter().map(|class| &class.name))?,
+        tenants: index_by_name("projects", json.tenants.iter().map(|tenant| &tenant.name))?,
+        machine_types: index_by_name("kinds", json.machine_types.iter())?,
+        load_fields: json.load_reports.fields,
         zones,
     };
     let settings = Settings {
-        replica_index: json.me,
-        replica_count: json.balancers,
+        replica_index: json.replica_index,
+        replica_count: json.replica_count,
         tier: json.tier,
         zone: ZoneId(zone),
         zone_count: json.zones.len(),
-        machine_type_count: json.kinds.len(),
-        classes: json.lanes.iter().map(parse_class).collect::<Result<_, _>>()?,
-        tenants: json.projects.iter().map(|tenant| Tenant { quota: tenant.quota_per_s }).collect(),
-        over_quota_value: json.over_share_worth,
+        machine_type_count: json.machine_types.len(),
+        classes: json.classes.iter().map(parse_class).collect::<Result<_, _>>()?,
+        tenants: json.tenants.iter().map(|tenant| Tenant { quota: tenant.quota_per_s }).collect(),
+        over_quota_value: json.over_quota_value,
         discovery: match json.discovery {
-            DiscoveryJson::Automatic => DiscoveryMode::Push,
+            DiscoveryJson::Push => DiscoveryMode::Push,
             DiscoveryJson::Subscribe => DiscoveryMode::Subscribe,
         },
-        propagates_deadline: json.family_info.passes_deadline,
+        propagates_deadline: json.inter_tier_calls.propagate_deadline,
         capabilities: Capabilities {
-            max_attempts: json.caps.try_limit,
-            hedging: json.caps.second_copies,
-            cancellation: json.caps.cancel,
-            probes: json.caps.may_probe,
-            peer_messages: json.caps.may_tell,
-            keepalive_timeout: parse_seconds("caps.keepaliveS", json.caps.keepalive_s)?,
-            max_concurrent_streams: json.caps.multiplex,
-            max_retry_after: if json.caps.retry_after {
-                Some(parse_seconds("caps.maxRetryAfterS", json.caps.max_retry_after_s)?)
+            max_attempts: json.capabilities.max_attempts,
+            hedging: json.capabilities.hedging,
+            cancellation: json.capabilities.cancellation,
+            probes: json.capabilities.probes,
+            peer_messages: json.capabilities.peer_messages,
+            keepalive_timeout: parse_seconds("caps.keepaliveS", json.capabilities.keepalive_timeout_s)?,
+            max_concurrent_streams: json.capabilities.max_concurrent_streams,
+            max_retry_after: if json.capabilities.send_retry_after {
+                Some(parse_seconds("caps.maxRetryAfterS", json.capabilities.max_retry_after_s)?)
             } else {
                 None
             },
         },
         rules: Rules {
-            deadline_grace: parse_seconds("rules.answerSlackS", json.rules.answer_slack_s)?,
+            deadline_grace: parse_seconds("rules.answerSlackS", json.rules.deadline_grace_s)?,
             drain_grace: parse_seconds("rules.drainGraceS", json.rules.drain_grace_s)?,
             max_poll_interval: json
                 .rules
-                .ask_within_s
+                .max_poll_interval_s
                 .map(|seconds| parse_seconds("rules.askWithinS", seconds))
                 .transpose()?,
-            slow_start_min_fraction: json.rules.cold_share,
-            slow_start_duration: parse_seconds("rules.coldS", json.rules.cold_s)?,
-            overload_factor: json.rules.fall_multiple,
-            overload_duration: parse_seconds("rules.overloadForS", json.rules.overload_for_s)?,
+            slow_start_min_fraction: json.rules.slow_start_min_fraction,
+            slow_start_duration: parse_seconds("rules.coldS", json.rules.slow_start_duration_s)?,
+            overload_factor: json.rules.overload_factor,
+            overload_duration: parse_seconds("rules.overloadForS", json.rules.overload_duration_s)?,
         },
         costs: Costs {
-            cross_zone: json.prices.cross_zone,
-            wasted_work: json.prices.waste,
-            late_failure: json.prices.late_fail,
-            handshake: json.prices.handshake,
-            probe: json.prices.probe,
+            cross_zone: json.costs.cross_zone,
+            wasted_work: json.costs.wasted_work,
+            late_failure: json.costs.late_failure,
+            handshake: json.costs.handshake,
+            probe: json.costs.probe,
         },
     };
-    let connect_timeout = parse_seconds("caps.dialTimeoutS", json.caps.dial_timeout_s)?;
+    let connect_timeout = parse_seconds("caps.dialTimeoutS", json.capabilities.connect_timeout_s)?;
     Ok(ParsedSettings { settings, names, connect_timeout })
 }
 
 fn parse_class(class: &ClassJson) -> Result<Class, SetupError> {
-    let idempotency = match class.effect {
+    let idempotency = match class.idempotency {
         IdempotencyJson::Idempotent => Idempotency::Idempotent,
-        IdempotencyJson::AtMostOnce => Idempotency::NonIdempotent,
+        IdempotencyJson::NonIdempotent => Idempotency::NonIdempotent,
         IdempotencyJson::Deduplicated => Idempotency::Deduplicated {
             scope: match class.dedup_scope.as_deref() {
                 Some("all") => DedupScope::All,
@@ -301,13 +318,13 @@
                 Some("cell") => DedupScope::Cell,
                 other => return Err(invalid_value("dedupScope", other.unwrap_or("-"))),
             },
-            window: parse_seconds("windowS", class.window_s.unwrap_or(0.0))?,
+            window: parse_seconds("windowS", class.dedup_window_s.unwrap_or(0.0))?,
         },
     };
     Ok(Class {
-        latency_target: parse_seconds("onTimeS", class.on_time_s)?,
-        deadline: parse_seconds("hardLimitS", class.hard_limit_s)?,
-        late_value: class.late_worth,
+        latency_target: parse_seconds("onTimeS", class.latency_target_s)?,
+        deadline: parse_seconds("hardLimitS", class.deadline_s)?,
+        late_value: class.late_value,
         idempotency,
     })
 }
--- a/simulator/src/wire.rs
+++ b/simulator/src/wire.rs
@@ -95,26 +95,30 @@
         if value.is_empty() { Err(Malformed::MissingField { field }) } else { Ok(value) }
     }
 
-    /// Parses a field that may be absent, which is written as `-`.
+    /// Takes the next field, or `None` if it is marked as absent by `-`.
     pub fn optional(&mut self, field: &'static str) -> Result<Option<&'a str>, Malformed> {
         Ok(Some(self.text(field)?).filter(|&value| value != "-"))
     }
 
+    /// Parses the next field as a number.
     pub fn number<T: FromStr>(&mut self, field: &'static str) -> Result<T, Malformed> {
         let value = self.text(field)?;
         value.parse().map_err(|_| invalid_field(field, value))
     }
 
+    /// Parses the next field as a duration in seconds.
     pub fn seconds(&mut self, field: &'static str) -> Result<Duration, Malformed> {
         let value = self.text(field)?;
         parse_seconds(value).ok_or_else(|| invalid_field(field, value))
     }
 
+    /// Parses the next field as a duration in seconds that may be absent.
     pub fn optional_seconds(&mut self, field: &'static str) -> Result<Option<Duration>, Malformed> {
         let value = self.optional(field)?;
         value.map(|value| parse_seconds(value).ok_or_else(|| invalid_field(field, value))).transpose()
     }
 
+    /// Parses the next field as `1` (true) or `0` (false).
     pub fn flag(&mut self, field: &'static str) -> Result<bool, Malformed> {
         match self.text(field)? {
             "1" => Ok(true),
@@ -134,6 +138,7 @@
     }
 }
 
+/// The error for a field with this content, which is truncated to 80 characters.
 pub fn invalid_field(field: &'static str, value: &str) -> Malformed {
     Malformed::InvalidField { field, value: value.chars().take(80).collect() }
 }
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -12,9 +12,12 @@
 const UPSTREAMS: u32 = 12;
 /// Number of upstreams, from id 0, that restart at the same time and enter slow start.
 const RESTARTED_UPSTREAMS: u32 = 3;
+/// Simulated time per step.
 const STEP: Duration = Duration::from_millis(5);
+/// Time before the restart.
 const WARM_UP: Duration = Duration::from_secs(8);
-const OBSERVED: Duration = Duration::from_secs(8);
+/// Time after the restart for which requests are recorded.
+const OBSERVATION: Duration = Duration::from_secs(8);
 
 /// The size of a fleet and its load.
 #[derive(Debug, Clone, Copy)]
@@ -64,7 +67,7 @@
     let mut rng = Rand64::new(u128::from(scenario.seed));
     let restarted_at = START + WARM_UP;
     let (mut now, mut restart_announced, mut sends) = (START, false, Vec::new());
-    while now < restarted_at + OBSERVED {
+    while now < restarted_at + OBSERVATION {
         now += STEP;
         if now > restarted_at && !restart_announced {
             restart_announced = true;
--- a/tests/list_trust.rs
+++ b/tests/list_trust.rs
@@ -11,6 +11,7 @@
 /// The drain grace of the settings (300 ms) less the time for which the process may be paused (150 ms).
 const USABLE_DRAIN_GRACE: Duration = Duration::from_millis(150);
 
+/// Settings under which replicas must poll discovery.
 fn settings() -> Settings {
     let mut settings = Settings::single_zone(vec![class(Idempotency::Idempotent)]);
     settings.discovery = DiscoveryMode::Subscribe;
@@ -46,7 +47,7 @@
     None
 }
 
-/// Checks that sends have stopped at the expected time, or up to 20 ms before it.
+/// Checks that sends have stopped at the expected time, or less than 20 ms before it.
 fn assert_stops_at(stopped_after: Option<Duration>, expected: Duration) {
     let stopped_after = stopped_after.expect("requests are no longer sent");
     assert!(
@@ -55,6 +56,7 @@
     );
 }
 
+/// Reports that the subscription has ended or a call to discovery has failed.
 fn fail_discovery(harness: &mut Harness) {
     harness.handle(Event::Discovery(DiscoveryUpdate::Failed));
 }
@@ -221,7 +223,7 @@
 }
 
 /// Guards against treating the end of a subscription to pushed lists as a change: there, changes count as
-/// delivered only after the longer time.
+/// delivered only after six seconds.
 #[test]
 fn pushed_lists_stay_valid_for_six_seconds_without_a_subscription() {
     let mut settings = settings();
--- a/tests/pick.rs
+++ b/tests/pick.rs
@@ -76,7 +76,7 @@
         }
         upstreams_with_two_or_more += attempts_by_upstream.values().filter(|&&requests| requests > 1).count();
     }
-    // Choosing from two random upstreams alone would give about half a second request in each run.
+    // Picking the less busy of two random upstreams alone would cause about 0.5 such cases in each run.
     assert!(
         upstreams_with_two_or_more < 15,
         "{upstreams_with_two_or_more} upstreams got a second request while others were idle"
@@ -115,8 +115,8 @@
     assert!(recovered_share > 0.1, "{recovered_share} of the requests went to it after it had recovered");
 }
 
-/// Guards against ignoring latency: with one request at a time none is in flight elsewhere, so only its
-/// latency shows that an upstream is slow.
+/// Guards against ignoring latency: with one request at a time, nothing is in flight when an upstream is
+/// picked, so only its latency shows that it is slow.
 #[test]
 fn a_slow_upstream_gets_fewer_requests() {
     let mut harness = Harness::new(settings(), 3, (0..5).map(member).collect());
@@ -142,6 +142,7 @@
     assert!(unanswered <= 2, "{unanswered} requests were sent to it");
 }
 
+/// A balancer in the first of two zones with four upstreams each.
 fn two_zones(tier: usize, cross_zone_cost: f64) -> Harness {
     let mut settings = Settings { zone_count: 2, tier, ..settings() };
     settings.costs.cross_zone = cross_zone_cost;
@@ -163,8 +164,8 @@
     f64::from(local_requests) / f64::from(requests)
 }
 
-/// Guards against overload at the start: all requests stayed in the local zone, and where that was congested
-/// it failed within 2 s.
+/// Guards against overload at the start: all requests stayed in the local zone, and a congested zone was
+/// overloaded within 2 s.
 #[test]
 fn the_first_tier_starts_evenly_spread_and_then_prefers_the_local_zone() {
     let mut harness = two_zones(0, 0.1);
@@ -286,7 +287,7 @@
     let aborts_connects_to =
         |actions: &[Action], id| actions.contains(&Action::AbortPendingConnects { upstream: UpstreamId(id) });
     let member_in_phase = |phase| Member { phase, ..member(0) };
-    for list in [
+    for update in [
         DiscoveryUpdate::Incremental(vec![member_in_phase(Phase::Draining)]),
         DiscoveryUpdate::Incremental(vec![member_in_phase(Phase::Gone)]),
         DiscoveryUpdate::Full(vec![member(1)]),
@@ -298,7 +299,7 @@
             &harness.handle(Event::Discovery(DiscoveryUpdate::Incremental(vec![member(1)]))),
             0
         ));
-        assert!(aborts_connects_to(&harness.handle(Event::Discovery(list)), 0));
+        assert!(aborts_connects_to(&harness.handle(Event::Discovery(update)), 0));
         // The aborted attempt is rerouted.
         assert_eq!(
             sent_to(&harness.end_attempt(id, 0, Outcome::ConnectFailed, millis(1))),
--- a/tests/reconfigure.rs
+++ b/tests/reconfigure.rs
@@ -9,6 +9,7 @@
 use stilelead_decision::interface::*;
 use stilelead_decision::{Action, Event, Settings};
 
+/// Settings with one tenant of the given quota, in requests per second.
 fn settings(quota: f64) -> Settings {
     let mut settings = Settings::single_zone(vec![class(Idempotency::Idempotent)]);
     settings.tenants = vec![Tenant { quota: Some(quota) }];
@@ -16,6 +17,7 @@
     settings
 }
 
+/// Replaces the settings of the balancer and returns its actions.
 fn apply_settings(harness: &mut Harness, settings: &Settings) -> Vec<Action> {
     harness.handle(Event::SettingsChanged(Box::new(settings.clone())))
 }
@@ -33,7 +35,7 @@
     }))
 }
 
-/// The fraction of requests admitted at the given rate.
+/// Submits requests at the given rate and returns the fraction that is admitted.
 fn admitted_fraction(
     harness: &mut Harness,
     tenant: usize,
@@ -113,7 +115,7 @@
         (new_tenant_fraction(Outcome::Good), new_tenant_fraction(Outcome::TimedOut));
     assert!(
         uncongested > 0.95 && congested < 0.4,
-        "{uncongested} admitted without congestion, {congested} after a jam"
+        "{uncongested} admitted without congestion, {congested} after congestion"
     );
 }
 
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -23,9 +23,9 @@
     EndAttempt { index: usize, outcome: Outcome },
     /// A client disconnects; `index` wraps around.
     Abandon { index: usize },
-    /// Updates one upstream: its phase, or its start time after a restart.
+    /// Discovery reports one upstream in a phase, possibly with a new start time.
     UpdateMember { upstream: u32, phase: Phase, restarted: bool },
-    /// Replaces the list by the first `member_count` upstreams.
+    /// Discovery replaces the list with the first `member_count` upstreams.
     ReplaceList { member_count: u32, stale: bool },
     /// A call to discovery fails or the subscription ends.
     DiscoveryFailed,
@@ -116,6 +116,7 @@
     ]
 }
 
+/// Settings of two zones with one class for each kind of idempotency.
 fn settings(hedging: bool, subscribe: bool) -> Settings {
     let class = |idempotency, late_value| Class { late_value, ..common::class(idempotency) };
     let deduplicated = |scope| Idempotency::Deduplicated { scope, window: millis(800) };
@@ -136,6 +137,7 @@
     settings
 }
 
+/// A ready upstream; zones alternate, and three consecutive ids share a cell.
 fn member(id: u32) -> Member {
     Member { zone: Some(ZoneId(id as usize % 2)), cell: id / 3, ..common::member(id) }
 }
@@ -171,7 +173,7 @@
     timer_at: Option<Duration>,
     /// Since when the replica has had no subscription and has not tried to open one.
     unsubscribed_since: Option<Duration>,
-    next_id: u64,
+    next_request_id: u64,
 }
 
 impl Simulation {
@@ -184,7 +186,7 @@
             list: BTreeMap::new(),
             timer_at: None,
             unsubscribed_since: Some(START),
-            next_id: 0,
+            next_request_id: 0,
         };
         simulation.handle(Event::Started);
         simulation.replace_list((0..8).map(member).collect(), false);
@@ -195,11 +197,11 @@
         let mut actions = Vec::new();
         self.balancer.handle(self.now, event, &mut actions);
         for action in actions {
-            self.check(action);
+            self.check_action(action);
         }
     }
 
-    fn check(&mut self, action: Action) {
+    fn check_action(&mut self, action: Action) {
         match action {
             Action::Send { request, upstream, timeout, start_within } => {
                 let state = self.requests.get_mut(&request).expect("the request has been submitted");
@@ -331,6 +333,7 @@
         }
     }
 
+    /// The attempts in flight of all requests, by request and number.
     fn attempts_in_flight(&self) -> Vec<(RequestId, usize)> {
         let all_attempts = self.requests.iter().flat_map(|(&id, state)| {
             state.attempts.iter().enumerate().map(move |(number, attempt)| (id, number, attempt.outcome))
@@ -397,12 +400,12 @@
         self.check_poll_interval();
     }
 
-    fn step(&mut self, step: Step) {
+    fn apply_step(&mut self, step: Step) {
         match step {
             Step::Advance(ms) => self.advance(millis(ms)),
             Step::Submit { class, time_left_ms } => {
-                let id = RequestId(self.next_id);
-                self.next_id += 1;
+                let id = RequestId(self.next_request_id);
+                self.next_request_id += 1;
                 let deadline = self.now + millis(time_left_ms);
                 let idempotencies = vec![self.settings.classes[class].idempotency];
                 let state = RequestState {
@@ -479,7 +482,7 @@
     ) {
         let mut simulation = Simulation::new(settings(hedging, subscribe), seed);
         for step in steps {
-            simulation.step(step);
+            simulation.apply_step(step);
         }
         simulation.advance(millis(4000));
     }
@@ -508,7 +511,7 @@
         let mut sends: Vec<(Duration, u32)> = Vec::new();
         let mut changed = false;
         while simulation.now < started_at + millis(6_000) {
-            simulation.step(Step::Submit { class: 0, time_left_ms: 500 });
+            simulation.apply_step(Step::Submit { class: 0, time_left_ms: 500 });
             for (id, attempt) in simulation.attempts_in_flight() {
                 sends.push((simulation.now, simulation.requests[&id].attempts[attempt].upstream.0));
                 let in_slow_start =
@@ -592,7 +595,7 @@
 #[test]
 fn a_started_response_stream_is_neither_cancelled_nor_retried() {
     let mut simulation = Simulation::new(settings(false, false), 3);
-    simulation.step(Step::Submit { class: 0, time_left_ms: 300 });
+    simulation.apply_step(Step::Submit { class: 0, time_left_ms: 300 });
     let id = RequestId(0);
     simulation.handle(Event::ResponseStarted { request: id, attempt: AttemptNumber(0) });
     let mut actions = Vec::new();
--- a/tests/suppressor.rs
+++ b/tests/suppressor.rs
@@ -87,8 +87,8 @@
 fn a_replica_that_has_just_started_does_not_admit_a_window_of_overload() {
     let mut harness = limited_to_10_per_s();
     let admitted_in_first_second = admitted_fraction(&mut harness, 50.0, 0.0, 1.0, Outcome::Good) * 50.0;
-    // One second of the limit plus what is admitted while the first second fills. Dividing by the whole
-    // window would admit 35.
+    // One second of the limit plus what is admitted while the count of the last second fills. Dividing by
+    // the whole window would admit 35.
     assert!(
         admitted_in_first_second <= 28.0,
         "{admitted_in_first_second} requests admitted in the first second"
@@ -275,7 +275,7 @@
 fn a_limit_below_one_request_per_window_is_enforced() {
     let mut settings = Settings::single_zone(vec![class(Idempotency::Idempotent)]);
     settings.replica_count = 400;
-    // With so many replicas, each may need at most 0.05 of it per second.
+    // Of this quota, one of 400 replicas may need at most 0.05 requests per second.
     settings.tenants = vec![Tenant { quota: Some(20.0 / f64::ln(400.0)) }];
     settings.over_quota_value = 0.0;
     let mut harness = Harness::new(settings, 5, (0..4).map(member).collect());
@@ -309,7 +309,8 @@
 
 /// Guards against the sum of many small limits exceeding the capacity, as in an incident: the margins for
 /// random variation added up to a fifth more than the tier could serve, and without overload the limits of
-/// single tenants never fell below them.
+/// single tenants never fell below
+/// these margins.
 #[test]
 fn congestion_limits_all_tenants_together_to_their_fair_shares() {
     let mut settings = Settings::single_zone(vec![class(Idempotency::Idempotent)]);
@@ -396,7 +397,7 @@
 fn client_retries_do_not_raise_the_admitted_rate_of_a_fractional_limit() {
     let mut settings = Settings::single_zone(vec![class(Idempotency::Idempotent)]);
     settings.replica_count = 100;
-    // With so many replicas, each may need at most 0.04 of each tenant's quota per second.
+    // Of each quota, one of 100 replicas may need at most 0.04 requests per second.
     settings.tenants = vec![Tenant { quota: Some(4.0 / f64::ln(100.0)) }; 4];
     settings.over_quota_value = 0.0;
     let (mut admitted, replica_count) = (0, 40);
@@ -411,7 +412,7 @@
             }
         }
     }
-    // 0.16 requests per second are allowed; with a draw for each request, 0.64 were admitted.
+    // A replica may admit 0.16 requests per second; with a draw for each request, it admitted 0.64.
     let requests_per_s = f64::from(admitted) / replica_count as f64 / 10.0;
     assert!(requests_per_s < 0.4, "{requests_per_s} requests per second admitted by each replica");
 }
@@ -467,9 +468,9 @@
             if sent_to(&actions).is_some() {
                 longest_gap = longest_gap.max(harness.now - last_admitted_at);
                 last_admitted_at = harness.now;
-                let congestion = (200..230).contains(&request);
+                let congested = (200..230).contains(&request);
                 let (outcome, duration_ms) =
-                    if congestion { (Outcome::TimedOut, 3000) } else { (Outcome::Good, 20) };
+                    if congested { (Outcome::TimedOut, 3000) } else { (Outcome::Good, 20) };
                 harness.end_attempt(id, 0, outcome, millis(duration_ms));
             }
         }
@@ -508,14 +509,14 @@
         harness.advance(millis(125));
         let (id, actions) = harness.submit(Some(0));
         // One minute in five is congested; the last three minutes are not.
-        let congestion = request / (8 * 60) % 5 == 1;
+        let congested = request / (8 * 60) % 5 == 1;
         if sent_to(&actions).is_some() {
             let duration_ms = latencies_ms[request % latencies_ms.len()];
             harness.end_attempt(
                 id,
                 0,
                 Outcome::Good,
-                millis(if congestion { duration_ms * 2 } else { duration_ms }),
+                millis(if congested { duration_ms * 2 } else { duration_ms }),
             );
         } else {
             denied += u32::from(request >= 8 * 1140);
@@ -573,16 +574,16 @@
             harness.advance(millis(20));
             let (id, actions) = harness.submit(Some(request % 2));
             let second = request / 50;
-            let congestion = (5..8).contains(&second);
+            let congested = (5..8).contains(&second);
             if sent_to(&actions).is_some() {
                 harness.end_attempt(
                     id,
                     0,
-                    if congestion { Outcome::TimedOut } else { Outcome::Good },
+                    if congested { Outcome::TimedOut } else { Outcome::Good },
                     millis(20),
                 );
             } else {
-                denied_in_congestion += u32::from(congestion);
+                denied_in_congestion += u32::from(congested);
                 denied_after_congestion += u32::from(second >= 20);
             }
         }
