--- a/scale/src/hollow/arrivals.rs
+++ b/scale/src/hollow/arrivals.rs
@@ -10,7 +10,7 @@
 use crate::scenario::{Depth, Load};
 
 /// Part of its deadline after which a client that leaves has left, at the latest.
-const LEAVES_WITHIN_PART: f64 = 0.5;
+const MAX_LEAVE_FRACTION: f64 = 0.5;
 
 /// A first-hop call.
 #[derive(Debug, Clone, PartialEq)]
@@ -18,7 +18,7 @@
     /// When, counted from the start of the load.
     pub at: Duration,
     /// Position of the hollow copy that it goes to.
-    pub copy: usize,
+    pub balancer: usize,
     /// Hops from the client to the last node.
     pub hops: u32,
     /// Its class.
@@ -26,37 +26,37 @@
     /// Number of its tenant.
     pub tenant: u32,
     /// Its client leaves after this, answered or not.
-    pub leaves_after: Option<Duration>,
+    pub client_leaves_after: Option<Duration>,
 }
 
 /// The arrivals of a run, in order of time.
 #[derive(Debug)]
 pub(super) struct Arrivals {
     random: ChaCha8Rng,
-    copies: usize,
+    balancer_count: usize,
     load: Load,
-    ends: Duration,
-    at_s: f64,
+    load_duration: Duration,
+    latest_arrival_s: f64,
 }
 
 impl Arrivals {
     /// Arrivals at `copies` copies over `duration`.
-    pub fn new(load: &Load, copies: usize, duration: Duration, seed: u64) -> Self {
+    pub fn new(load: &Load, balancer_count: usize, load_duration: Duration, seed: u64) -> Self {
         let random = ChaCha8Rng::seed_from_u64(seed);
-        Self { random, copies, load: load.clone(), ends: duration, at_s: 0.0 }
+        Self { random, balancer_count, load: load.clone(), load_duration, latest_arrival_s: 0.0 }
     }
 
     /// A number from 0 up to 1.
-    fn chance(&mut self) -> f64 {
+    fn draw_fraction(&mut self) -> f64 {
         self.random.random()
     }
 
     fn draw_hops(&mut self) -> u32 {
-        let chance = self.chance();
-        let mut passed = 0.0;
+        let fraction = self.draw_fraction();
+        let mut cumulative_share = 0.0;
         for Depth { hops, share } in &self.load.depths {
-            passed += share;
-            if chance < passed {
+            cumulative_share += share;
+            if fraction < cumulative_share {
                 return *hops;
             }
         }
@@ -64,9 +64,9 @@
     }
 
     fn draw_leaving(&mut self) -> Option<Duration> {
-        let leaves = self.chance() < self.load.leaving_share;
-        let after_s = self.chance() * self.load.deadline_s * LEAVES_WITHIN_PART;
-        leaves.then(|| Duration::try_from_secs_f64(after_s).unwrap_or_default())
+        let leaves_early = self.draw_fraction() < self.load.leaving_share;
+        let leaves_after_s = self.draw_fraction() * self.load.deadline_s * MAX_LEAVE_FRACTION;
+        leaves_early.then(|| Duration::try_from_secs_f64(leaves_after_s).unwrap_or_default())
     }
 }
 
@@ -74,16 +74,18 @@
     type Item = Arrival;
 
     fn next(&mut self) -> Option<Arrival> {
-        if self.copies == 0 || self.load.hollow_calls_per_s <= 0.0 {
+        if self.balancer_count == 0 || self.load.hollow_calls_per_s <= 0.0 {
             return None;
         }
-        self.at_s -= (1.0 - self.chance()).ln() / self.load.hollow_calls_per_s;
-        let at = Duration::try_from_secs_f64(self.at_s).ok().filter(|&at| at < self.ends)?;
-        let copy = self.random.random_range(0..self.copies);
+        self.latest_arrival_s -= (1.0 - self.draw_fraction()).ln() / self.load.hollow_calls_per_s;
+        let at =
+            Duration::try_from_secs_f64(self.latest_arrival_s).ok().filter(|&at| at < self.load_duration)?;
+        let balancer = self.random.random_range(0..self.balancer_count);
         let hops = self.draw_hops();
-        let class = if self.chance() < self.load.unsafe_share { CallClass::Order } else { CallClass::Read };
+        let class =
+            if self.draw_fraction() < self.load.unsafe_share { CallClass::Order } else { CallClass::Read };
         let tenant = self.random.random_range(0..TENANT_COUNT);
-        let leaves_after = self.draw_leaving();
-        Some(Arrival { at, copy, hops, class, tenant, leaves_after })
+        let client_leaves_after = self.draw_leaving();
+        Some(Arrival { at, balancer, hops, class, tenant, client_leaves_after })
     }
 }
--- a/scale/src/hollow/copy.rs
+++ b/scale/src/hollow/balancer.rs
@@ -26,23 +26,23 @@
 }
 
 /// A hollow copy.
-pub(super) struct HollowCopy {
+pub(super) struct HollowBalancer {
     /// Its decisions.
-    pub balancer: Balancer,
+    pub decisions: Balancer,
     /// The list in hand.
     pub directory: Directory,
     /// Its watch on control.
     pub subscription: Subscription,
     /// The list from its configuration, until it is taken in.
-    pub known: Option<Update>,
+    pub initial_list: Option<Update>,
     /// The list in hand names an upstream to send to.
     pub ready: bool,
     /// The version of the list that it was last told.
-    pub version: u64,
+    pub list_version: u64,
     /// Its watch stands and has told it something.
     pub watching: bool,
     /// Counts its processes.
-    pub life: u64,
+    pub generation: u64,
     /// Its region.
     pub region: RegionId,
     /// Its idle connections.
@@ -56,7 +56,7 @@
     connecting: Vec<Connecting>,
 }
 
-impl HollowCopy {
+impl HollowBalancer {
     /// A copy that was just started and has heard nothing yet.
     ///
     /// # Errors
@@ -65,21 +65,21 @@
         mut config: Config,
         clock: Clock,
         region: RegionId,
-        life: u64,
+        generation: u64,
     ) -> Result<Self, SettingsError> {
-        let (seed, known) = (config.seed, config.known.take());
+        let (seed, initial_list) = (config.seed, config.known.take());
         let in_force = InForce::start(config);
         // A process that starts anew draws anew.
-        let balancer = Balancer::new(in_force.settings(), seed.wrapping_add(life))?;
+        let decisions = Balancer::new(in_force.settings(), seed.wrapping_add(generation))?;
         Ok(Self {
-            balancer,
+            decisions,
             directory: Directory::new(clock),
             subscription: Subscription::new(in_force.discovery()),
-            known,
+            initial_list,
             ready: false,
-            version: 0,
+            list_version: 0,
             watching: false,
-            life,
+            generation,
             region,
             idle: IdleConnections::default(),
             in_force,
@@ -90,7 +90,7 @@
     }
 
     /// Takes in an update of the list; `positions` has the fleet's nodes by name.
-    pub fn take_list(
+    pub fn apply_list(
         &mut self,
         update: &Update,
         origin: Origin,
@@ -134,12 +134,12 @@
     }
 
     /// An attempt's connection does not come up for now.
-    pub fn connects(&mut self, upstream: UpstreamId, attempt: AttemptId) {
+    pub fn add_connecting(&mut self, upstream: UpstreamId, attempt: AttemptId) {
         self.connecting.push(Connecting { upstream, attempt });
     }
 
     /// An attempt is no longer connecting.
-    pub fn stops_connecting(&mut self, request: RequestId, number: AttemptNumber) {
+    pub fn remove_connecting(&mut self, request: RequestId, number: AttemptNumber) {
         self.connecting.retain(|connecting| connecting.attempt != AttemptId { request, number });
     }
 
--- a/scale/src/hollow/calls.rs
+++ b/scale/src/hollow/calls.rs
@@ -22,7 +22,7 @@
 
 /// Names a request's run on a node.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-pub(super) struct RunId(pub u64);
+pub(super) struct ExecutionId(pub u64);
 
 /// Names an attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -35,11 +35,11 @@
 
 /// Who waits for a request's answer.
 #[derive(Debug, Clone, Copy)]
-pub(super) enum Origin {
+pub(super) enum Caller {
     /// A client's call.
     Client(CallId),
     /// A node, to go on with a run.
-    Node(RunId),
+    Node(ExecutionId),
 }
 
 /// A balancer's final answer.
@@ -58,7 +58,7 @@
 
 /// What a request asks for; the same at each hop but for the hops.
 #[derive(Debug, Clone, Copy)]
-pub(super) struct Work {
+pub(super) struct RequestSpec {
     /// Its class.
     pub class: CallClass,
     /// Number of its tenant.
@@ -69,7 +69,7 @@
     pub hop: u32,
 }
 
-impl Work {
+impl RequestSpec {
     /// What the node at this hop asks of the next service; `None` at the last hop.
     pub fn next_hop(self) -> Option<Self> {
         (self.hops > 1).then(|| Self { hops: self.hops - 1, hop: self.hop + 1, ..self })
@@ -80,13 +80,13 @@
 #[derive(Debug)]
 pub(super) struct OpenCall {
     /// When it was drawn to arrive.
-    pub arrived: Duration,
+    pub arrived_at: Duration,
     /// When its client's time is up.
     pub deadline: Duration,
     /// Position of the copy that it goes to.
-    pub copy: usize,
+    pub balancer: usize,
     /// What it asks for.
-    pub work: Work,
+    pub spec: RequestSpec,
     /// Times that it may still be repeated after a refusal.
     pub retries_left: u32,
     /// The request that is out for it.
@@ -95,13 +95,13 @@
 
 /// A request at a hollow copy.
 #[derive(Debug)]
-pub(super) struct HeldRequest {
+pub(super) struct OpenRequest {
     /// Position of the copy.
-    pub copy: usize,
+    pub balancer: usize,
     /// Who waits for it.
-    pub origin: Origin,
+    pub caller: Caller,
     /// What it asks for.
-    pub work: Work,
+    pub spec: RequestSpec,
     /// When its answer must be out.
     pub deadline: Duration,
     /// It has its final answer, or nobody waits for one any more.
@@ -109,12 +109,12 @@
     /// By number, while they are out.
     pub attempts: Vec<Option<Attempt>>,
     /// Attempts that are out.
-    pub out: u32,
+    pub in_flight: u32,
     /// Times that it was accepted by a node.
-    pub runs: u32,
+    pub times_accepted: u32,
 }
 
-impl HeldRequest {
+impl OpenRequest {
     /// The attempt of that number, while it is out.
     pub fn attempt(&mut self, number: AttemptNumber) -> Option<&mut Attempt> {
         self.attempts.get_mut(number.0 as usize)?.as_mut()
@@ -129,32 +129,32 @@
     /// Position of the node, if it is one of this fleet.
     pub node: Option<usize>,
     /// When the decisions asked for it.
-    pub asked: Duration,
+    pub requested_at: Duration,
     /// When it is given up.
-    pub until: Duration,
+    pub deadline: Duration,
     /// When it was written whole; `None` while its connection is coming up.
-    pub sent: Option<Duration>,
+    pub sent_at: Option<Duration>,
     /// The connection that it was written to.
     pub connection: Option<Connection>,
     /// What it does on the node.
-    pub run: Option<RunId>,
+    pub execution: Option<ExecutionId>,
 }
 
 /// A request that a node has accepted.
 #[derive(Debug)]
-pub(super) struct Run {
+pub(super) struct Execution {
     /// Position of the node.
     pub node: usize,
     /// The attempt that brought it.
     pub attempt: AttemptId,
     /// Position of the copy that sent it.
-    pub copy: usize,
+    pub balancer: usize,
     /// What it asks for.
-    pub work: Work,
+    pub spec: RequestSpec,
     /// How long its caller waits.
     pub deadline: Duration,
     /// How it ends, at the last hop.
-    pub fate: WorkOutcome,
+    pub outcome: WorkOutcome,
     /// The request to the next service that it waits for.
     pub downstream: Option<RequestId>,
 }
--- a/scale/src/hollow/connections.rs
+++ b/scale/src/hollow/connections.rs
@@ -11,52 +11,52 @@
     /// Position of the node.
     pub node: usize,
     /// The life of the node's process that it was opened to: it ends with that.
-    pub life: u64,
+    pub generation: u64,
 }
 
 #[derive(Debug)]
-struct Kept {
+struct IdleConnection {
     connection: Connection,
-    since: Duration,
+    idle_since: Duration,
 }
 
 /// The idle connections of one copy, the most recently used last.
 #[derive(Debug, Default)]
 pub(super) struct IdleConnections {
-    kept: FxHashMap<UpstreamId, Vec<Kept>>,
+    by_upstream: FxHashMap<UpstreamId, Vec<IdleConnection>>,
 }
 
 impl IdleConnections {
     /// Keeps a connection for the next attempt.
-    pub fn keep(&mut self, upstream: UpstreamId, connection: Connection, now: Duration) {
-        self.kept.entry(upstream).or_default().push(Kept { connection, since: now });
+    pub fn add(&mut self, upstream: UpstreamId, connection: Connection, now: Duration) {
+        self.by_upstream.entry(upstream).or_default().push(IdleConnection { connection, idle_since: now });
     }
 
     /// The connection to an upstream that was used last, if one is kept.
     pub fn take(&mut self, upstream: UpstreamId) -> Option<Connection> {
-        Some(self.kept.get_mut(&upstream)?.pop()?.connection)
+        Some(self.by_upstream.get_mut(&upstream)?.pop()?.connection)
     }
 
     /// Takes out all connections to an upstream.
     pub fn drain(&mut self, upstream: UpstreamId) -> Vec<Connection> {
-        let kept = self.kept.remove(&upstream).unwrap_or_default();
-        kept.into_iter().map(|kept| kept.connection).collect()
+        let connections = self.by_upstream.remove(&upstream).unwrap_or_default();
+        connections.into_iter().map(|idle| idle.connection).collect()
     }
 
     /// Takes out all connections to upstreams that `stays` does not name.
-    pub fn drain_others(&mut self, stays: impl Fn(UpstreamId) -> bool) -> Vec<Connection> {
-        let leaving: Vec<UpstreamId> =
-            self.kept.keys().copied().filter(|&upstream| !stays(upstream)).collect();
-        leaving.into_iter().flat_map(|upstream| self.drain(upstream)).collect()
+    pub fn drain_except(&mut self, keep: impl Fn(UpstreamId) -> bool) -> Vec<Connection> {
+        let removed: Vec<UpstreamId> =
+            self.by_upstream.keys().copied().filter(|&upstream| !keep(upstream)).collect();
+        removed.into_iter().flat_map(|upstream| self.drain(upstream)).collect()
     }
 
     /// Takes out all connections that have been idle since `oldest` or longer.
-    pub fn drain_older(&mut self, oldest: Duration) -> Vec<Connection> {
-        let mut old = Vec::new();
-        for kept in self.kept.values_mut() {
-            let count = kept.partition_point(|kept| kept.since <= oldest);
-            old.extend(kept.drain(..count).map(|kept| kept.connection));
+    pub fn drain_idle_since(&mut self, idle_since: Duration) -> Vec<Connection> {
+        let mut expired = Vec::new();
+        for connections in self.by_upstream.values_mut() {
+            let count = connections.partition_point(|idle| idle.idle_since <= idle_since);
+            expired.extend(connections.drain(..count).map(|idle| idle.connection));
         }
-        old
+        expired
     }
 }
--- a/scale/src/hollow/host.rs
+++ b/scale/src/hollow/host.rs
@@ -6,10 +6,10 @@
 
 mod attempts;
 mod clients;
+mod executions;
 mod faults;
 mod lists;
 mod requests;
-mod runs;
 mod settings;
 
 use std::cell::RefCell;
@@ -26,67 +26,67 @@
 
 use super::HollowError;
 use super::arrivals::Arrivals;
-use super::calls::{Answer, CallId, HeldRequest, OpenCall, Origin, Run, RunId};
-use super::copy::HollowCopy;
+use super::balancer::HollowBalancer;
+use super::calls::{Answer, CallId, Caller, Execution, ExecutionId, OpenCall, OpenRequest};
 use super::nodes::ModelledNode;
 use super::plan::Plan;
 use super::progress::Progress;
-use super::schedule::{Due, DueEntry, Schedule};
+use super::schedule::{DueEvent, Schedule, TimedEvent};
 use crate::control::ControlPlane;
 use crate::record::Record;
 use crate::topology::{CopyId, Node, NodeId};
 
 /// Idle connections are looked through this many times in the time for which they are kept.
-const SWEEPS: u32 = 8;
+const SWEEPS_PER_IDLE_TIMEOUT: u32 = 8;
 
 /// What is left to do for something that has happened.
 enum Step {
     /// A copy's decisions hear of it.
-    Tell {
+    Decide {
         /// Position of the copy.
-        copy: usize,
+        balancer: usize,
         /// What they hear.
         event: Event,
     },
     /// Who waits for a request hears its answer.
     Answered {
         /// Who.
-        origin: Origin,
+        caller: Caller,
         /// The answer.
         answer: Answer,
     },
 }
 
 /// All hollow copies and modelled nodes.
-pub(super) struct Host {
+pub(super) struct HollowHost {
     plan: Plan,
     control: Arc<ControlPlane>,
     record: Arc<Record>,
     progress: Arc<Progress>,
     clock: Clock,
-    zero: Instant,
+    epoch: Instant,
     /// The time that is being handled.
     now: Duration,
     schedule: Schedule,
     steps: VecDeque<Step>,
     actions: Vec<Action>,
-    copies: Vec<HollowCopy>,
+    balancers: Vec<HollowBalancer>,
     nodes: Vec<ModelledNode>,
     /// Configurations that copies were given while they ran, without lists.
-    replaced: FxHashMap<usize, String>,
+    reloaded_configurations: FxHashMap<usize, String>,
     /// Positions of the nodes by name.
     positions: FxHashMap<String, usize>,
     arrivals: Peekable<Arrivals>,
-    load_starts: Option<Duration>,
+    load_start: Option<Duration>,
     calls: FxHashMap<CallId, OpenCall>,
-    requests: FxHashMap<RequestId, HeldRequest>,
-    runs: FxHashMap<RunId, Run>,
-    next_number: u64,
+    requests: FxHashMap<RequestId, OpenRequest>,
+    executions: FxHashMap<ExecutionId, Execution>,
+    last_number: u64,
     regions_cut: bool,
-    itself: Weak<RefCell<Self>>,
+    weak_self: Weak<RefCell<Self>>,
 }
 
-impl Host {
+impl HollowHost {
     /// Lays out the nodes and starts all copies. Runs within a `LocalSet`, as the copies begin to watch.
     ///
     /// # Errors
@@ -99,179 +99,183 @@
     ) -> Result<Rc<RefCell<Self>>, HollowError> {
         let topology = &plan.topology;
         let region = |node: &Node| topology.region(node.zone);
-        let nodes = topology.nodes.iter().take(plan.hollow()).enumerate();
+        let nodes = topology.nodes.iter().take(plan.hollow_count()).enumerate();
         let nodes: Vec<ModelledNode> = nodes
             .map(|(number, node)| ModelledNode::new(&plan.scenario.node, region(node), number, plan.seed))
             .collect();
-        let named = topology.nodes.iter().take(plan.hollow()).enumerate();
-        let positions = named.map(|(number, node)| (node.name.clone(), number)).collect();
-        let load_time = Duration::try_from_secs_f64(plan.scenario.duration_s).unwrap_or_default();
-        let arrivals = Arrivals::new(&plan.scenario.load, plan.hollow(), load_time, plan.seed);
-        let host = Rc::new_cyclic(|itself| {
+        let hollow_nodes = topology.nodes.iter().take(plan.hollow_count()).enumerate();
+        let positions = hollow_nodes.map(|(number, node)| (node.name.clone(), number)).collect();
+        let load_duration = Duration::try_from_secs_f64(plan.scenario.duration_s).unwrap_or_default();
+        let arrivals = Arrivals::new(&plan.scenario.load, plan.hollow_count(), load_duration, plan.seed);
+        let host = Rc::new_cyclic(|weak_self| {
             RefCell::new(Self {
                 control,
                 record,
                 progress,
                 clock: Clock::start(),
-                zero: Instant::now(),
+                epoch: Instant::now(),
                 now: Duration::ZERO,
                 schedule: Schedule::default(),
                 steps: VecDeque::new(),
                 actions: Vec::new(),
-                copies: Vec::with_capacity(plan.hollow()),
+                balancers: Vec::with_capacity(plan.hollow_count()),
                 nodes,
-                replaced: FxHashMap::default(),
+                reloaded_configurations: FxHashMap::default(),
                 positions,
                 arrivals: arrivals.peekable(),
-                load_starts: None,
+                load_start: None,
                 calls: FxHashMap::default(),
                 requests: FxHashMap::default(),
-                runs: FxHashMap::default(),
-                next_number: 0,
+                executions: FxHashMap::default(),
+                last_number: 0,
                 regions_cut: false,
-                itself: Weak::clone(itself),
+                weak_self: Weak::clone(weak_self),
                 plan,
             })
         });
-        host.borrow_mut().start_copies()?;
+        host.borrow_mut().start_balancers()?;
         Ok(host)
     }
 
-    fn start_copies(&mut self) -> Result<(), HollowError> {
-        for number in 0..self.plan.hollow() {
-            let copy = self.new_copy(number, 0)?;
-            let sweeps_at = self.now + copy.in_force.keep() / SWEEPS;
-            self.copies.push(copy);
-            self.schedule.add(sweeps_at, Due::Sweep { copy: number });
-            self.begin_deciding(number);
+    fn start_balancers(&mut self) -> Result<(), HollowError> {
+        for number in 0..self.plan.hollow_count() {
+            let balancer = self.new_balancer(number, 0)?;
+            let first_sweep_at = self.now + balancer.in_force.keep() / SWEEPS_PER_IDLE_TIMEOUT;
+            self.balancers.push(balancer);
+            self.schedule.add(first_sweep_at, TimedEvent::SweepIdleConnections { balancer: number });
+            self.start_decisions(number);
         }
         Ok(())
     }
 
-    fn name(&self, copy: usize) -> String {
-        self.plan.topology.copies[copy].name.clone()
+    fn name(&self, balancer: usize) -> String {
+        self.plan.topology.copies[balancer].name.clone()
     }
 
     /// When the next thing falls due, in time from now on.
-    pub fn next_due_in(&self) -> Option<Duration> {
-        Some(self.schedule.next_at()?.saturating_sub(self.zero.elapsed()))
+    pub fn time_to_next_event(&self) -> Option<Duration> {
+        Some(self.schedule.next_at()?.saturating_sub(self.epoch.elapsed()))
     }
 
     /// Handles up to `most` things that are due by now; whether there may be more.
-    pub fn advance(&mut self, most: usize) -> bool {
-        let wall = self.zero.elapsed();
-        (0..most).all(|_| self.handle_next(wall))
+    pub fn advance(&mut self, max_events: usize) -> bool {
+        let wall_time = self.epoch.elapsed();
+        (0..max_events).all(|_| self.handle_next(wall_time))
     }
 
     /// Something comes from outside: all that was due before it is handled first.
     fn catch_up(&mut self) {
-        let wall = self.zero.elapsed();
-        while self.handle_next(wall) {}
-        self.now = self.now.max(wall);
+        let wall_time = self.epoch.elapsed();
+        while self.handle_next(wall_time) {}
+        self.now = self.now.max(wall_time);
     }
 
     /// Handles the next thing that is due at `wall`; `false` if there is none.
-    fn handle_next(&mut self, wall: Duration) -> bool {
-        let Some(DueEntry { at, due }) = self.schedule.take_due(wall) else { return false };
+    fn handle_next(&mut self, wall_time: Duration) -> bool {
+        let Some(DueEvent { at, event }) = self.schedule.take_due(wall_time) else { return false };
         self.now = self.now.max(at);
-        if self.load_starts.is_some() {
-            self.progress.was_behind(wall.saturating_sub(at));
+        if self.load_start.is_some() {
+            self.progress.record_lateness(wall_time.saturating_sub(at));
         }
-        self.fall_due(due);
-        self.run_steps();
+        self.handle_event(event);
+        self.process_steps();
         true
     }
 
-    fn fall_due(&mut self, due: Due) {
-        match due {
-            Due::Arrival => self.next_arrival(),
-            Due::Retry(call) => self.try_call(call),
-            Due::Leave(call) => self.client_leaves(call),
-            Due::TimeUp(call) => self.time_is_up(call),
-            Due::Lost(call) => self.call_is_lost(call),
-            Due::Overdue(request) => self.overdue(request),
-            Due::AttemptTimeout(attempt) => self.attempt_timed_out(attempt),
-            Due::ConnectTimeout(attempt) => self.connect_timed_out(attempt),
-            Due::WorkDone(run) => self.work_done(run),
-            Due::Wake { copy, life } => {
-                if self.copies[copy].life == life {
-                    self.tell(copy, Event::TimerFired);
+    fn handle_event(&mut self, event: TimedEvent) {
+        match event {
+            TimedEvent::Arrival => self.next_arrival(),
+            TimedEvent::Retry(call) => self.send_call(call),
+            TimedEvent::ClientLeaves(call) => self.client_left(call),
+            TimedEvent::ClientDeadline(call) => self.client_deadline_passed(call),
+            TimedEvent::CallLost(call) => self.call_lost(call),
+            TimedEvent::RequestOverdue(request) => self.request_overdue(request),
+            TimedEvent::AttemptTimeout(attempt) => self.attempt_timed_out(attempt),
+            TimedEvent::ConnectTimeout(attempt) => self.connect_timed_out(attempt),
+            TimedEvent::WorkDone(execution) => self.work_done(execution),
+            TimedEvent::Wake { balancer, generation } => {
+                if self.balancers[balancer].generation == generation {
+                    self.push_event(balancer, Event::TimerFired);
                 }
             }
-            Due::Sweep { copy } => self.sweep(copy),
+            TimedEvent::SweepIdleConnections { balancer } => self.sweep_idle_connections(balancer),
         }
     }
 
-    fn tell(&mut self, copy: usize, event: Event) {
-        self.steps.push_back(Step::Tell { copy, event });
+    fn push_event(&mut self, balancer: usize, event: Event) {
+        self.steps.push_back(Step::Decide { balancer, event });
     }
 
-    fn run_steps(&mut self) {
+    fn process_steps(&mut self) {
         while let Some(step) = self.steps.pop_front() {
             match step {
-                Step::Tell { copy, event } => self.decide(copy, event),
-                Step::Answered { origin: Origin::Client(call), answer } => self.call_answered(call, answer),
-                Step::Answered { origin: Origin::Node(run), answer } => self.run_answered(run, answer),
+                Step::Decide { balancer, event } => self.decide(balancer, event),
+                Step::Answered { caller: Caller::Client(call), answer } => self.call_answered(call, answer),
+                Step::Answered { caller: Caller::Node(execution), answer } => {
+                    self.downstream_answered(execution, answer)
+                }
             }
         }
     }
 
-    fn decide(&mut self, copy: usize, event: Event) {
-        let time = self.clock.at((self.zero + self.now).into());
+    fn decide(&mut self, balancer: usize, event: Event) {
+        let time = self.clock.at((self.epoch + self.now).into());
         let mut actions = std::mem::take(&mut self.actions);
-        self.copies[copy].balancer.handle(time, event, &mut actions);
+        self.balancers[balancer].decisions.handle(time, event, &mut actions);
         for action in actions.drain(..) {
-            self.carry_out(copy, action);
+            self.perform_action(balancer, action);
         }
         self.actions = actions;
     }
 
-    fn carry_out(&mut self, copy: usize, action: Action) {
+    fn perform_action(&mut self, balancer: usize, action: Action) {
         match action {
             Action::Send { request, upstream, timeout, start_within } => {
-                self.send(request, upstream, timeout, start_within);
+                self.send_attempt(request, upstream, timeout, start_within);
+            }
+            Action::CancelAttempt { request, attempt } => self.withdraw_attempt(request, attempt),
+            Action::Refuse { request, retry_after } => {
+                self.answer_request(request, Answer::Refused { retry_after })
             }
-            Action::CancelAttempt { request, attempt } => self.withdraw(request, attempt),
-            Action::Refuse { request, retry_after } => self.answer(request, Answer::Refused { retry_after }),
-            Action::Fail { request } => self.answer(request, Answer::Failed),
-            Action::SubscribeToDiscovery => self.subscribe(copy),
-            Action::AbortPendingConnects { upstream } => self.abort_connects(copy, upstream),
+            Action::Fail { request } => self.answer_request(request, Answer::Failed),
+            Action::SubscribeToDiscovery => self.subscribe(balancer),
+            Action::AbortPendingConnects { upstream } => self.abort_connects(balancer, upstream),
             // Health checks are not made, as in the balancer.
             Action::Probe { upstream } => {
-                let (outcome, took) = (Outcome::NotSent, Duration::ZERO);
-                self.tell(copy, Event::ProbeEnded { upstream, outcome, duration: took, load: None });
+                let (outcome, duration) = (Outcome::NotSent, Duration::ZERO);
+                self.push_event(balancer, Event::ProbeEnded { upstream, outcome, duration, load: None });
             }
             Action::CloseIdleConnections { upstream } => {
-                let dropped = self.copies[copy].idle.drain(upstream);
-                self.close(dropped);
+                let removed = self.balancers[balancer].idle.drain(upstream);
+                self.close_connections(removed);
             }
-            Action::SetTimer(span) => {
-                let life = self.copies[copy].life;
-                self.schedule.add(self.now + span, Due::Wake { copy, life });
+            Action::SetTimer(delay) => {
+                let generation = self.balancers[balancer].generation;
+                self.schedule.add(self.now + delay, TimedEvent::Wake { balancer, generation });
             }
-            Action::Report(report) => tracing::debug!(copy = self.name(copy), ?report, "decided"),
+            Action::Report(report) => tracing::debug!(copy = self.name(balancer), ?report, "decided"),
         }
     }
 
     /// Whether nothing passes between a copy and a node.
-    fn is_unreachable(&self, copy: usize, node: usize) -> bool {
+    fn is_unreachable(&self, balancer: usize, node: usize) -> bool {
         let node = &self.nodes[node];
-        node.silent || (self.regions_cut && node.region != self.copies[copy].region)
+        node.silent || (self.regions_cut && node.region != self.balancers[balancer].region)
     }
 
     /// Position of the copy through which a node calls the next service.
-    fn copy_of(&self, node: usize) -> usize {
+    fn balancer_of(&self, node: usize) -> usize {
         self.plan.topology.nodes[node].calls_through.0
     }
 
     /// Position of the node that holds a copy: the copies follow the nodes one by one.
-    fn node_of(&self, copy: usize) -> usize {
-        debug_assert_eq!(self.plan.topology.nodes[copy].calls_through, CopyId(copy));
-        NodeId(copy).0
+    fn node_of(&self, balancer: usize) -> usize {
+        debug_assert_eq!(self.plan.topology.nodes[balancer].calls_through, CopyId(balancer));
+        NodeId(balancer).0
     }
 
-    fn number(&mut self) -> u64 {
-        self.next_number += 1;
-        self.next_number
+    fn next_number(&mut self) -> u64 {
+        self.last_number += 1;
+        self.last_number
     }
 }
--- a/scale/src/hollow/host/clients.rs
+++ b/scale/src/hollow/host/clients.rs
@@ -2,34 +2,34 @@
 
 use std::time::{Duration, Instant};
 
-use super::Host;
+use super::HollowHost;
 use crate::hollow::arrivals::Arrival;
-use crate::hollow::calls::{Answer, CallId, OpenCall, Origin, Work};
-use crate::hollow::schedule::Due;
+use crate::hollow::calls::{Answer, CallId, Caller, OpenCall, RequestSpec};
+use crate::hollow::schedule::TimedEvent;
 use crate::record::{Call, CallEnd};
 use crate::topology::Carrier;
 
 /// Pause of a client that was refused and got no advice.
-const RETRY_PAUSE: Duration = Duration::from_millis(50);
+const DEFAULT_RETRY_DELAY: Duration = Duration::from_millis(50);
 /// Spreads the numbers of calls, which follow one another; odd.
-const SPREAD: u64 = 0x9e37_79b9_7f4a_7c15;
+const HASH_MULTIPLIER: u64 = 0x9e37_79b9_7f4a_7c15;
 /// A call without any answer so long after its time was up is lost.
 const LOST_AFTER: Duration = Duration::from_millis(500);
 
-impl Host {
+impl HollowHost {
     /// The load starts then.
     pub fn begin_load(&mut self, start: Instant) {
         self.catch_up();
-        let starts = start.saturating_duration_since(self.zero);
-        self.load_starts = Some(starts);
+        let load_start = start.saturating_duration_since(self.epoch);
+        self.load_start = Some(load_start);
         self.schedule_arrival();
     }
 
     fn schedule_arrival(&mut self) {
-        if let Some(starts) = self.load_starts
+        if let Some(load_start) = self.load_start
             && let Some(next) = self.arrivals.peek()
         {
-            self.schedule.add(starts + next.at, Due::Arrival);
+            self.schedule.add(load_start + next.at, TimedEvent::Arrival);
         }
     }
 
@@ -43,37 +43,37 @@
 
     fn open_call(&mut self, arrival: &Arrival) {
         let load = &self.plan.scenario.load;
-        let time = Duration::try_from_secs_f64(load.deadline_s).unwrap_or_default();
-        let deadline = self.now + time;
-        let work = Work { class: arrival.class, tenant: arrival.tenant, hops: arrival.hops, hop: 1 };
+        let timeout = Duration::try_from_secs_f64(load.deadline_s).unwrap_or_default();
+        let deadline = self.now + timeout;
+        let spec = RequestSpec { class: arrival.class, tenant: arrival.tenant, hops: arrival.hops, hop: 1 };
         let call = OpenCall {
-            arrived: self.now,
+            arrived_at: self.now,
             deadline,
-            copy: arrival.copy,
-            work,
+            balancer: arrival.balancer,
+            spec,
             retries_left: load.client_retries,
             request: None,
         };
-        let id = CallId(self.number());
+        let id = CallId(self.next_number());
         self.calls.insert(id, call);
         self.progress.call_opened();
-        self.schedule.add(deadline + LOST_AFTER, Due::Lost(id));
-        if let Some(after) = arrival.leaves_after {
-            self.schedule.add(self.now + after, Due::Leave(id));
+        self.schedule.add(deadline + LOST_AFTER, TimedEvent::CallLost(id));
+        if let Some(delay) = arrival.client_leaves_after {
+            self.schedule.add(self.now + delay, TimedEvent::ClientLeaves(id));
         }
-        self.try_call(id);
+        self.send_call(id);
     }
 
     /// Sends a call to its copy, or if that one's machine is not there, to one of those that are: clients come
     /// through a front, which spreads them.
-    pub(super) fn try_call(&mut self, id: CallId) {
+    pub(super) fn send_call(&mut self, id: CallId) {
         let Some(call) = self.calls.get(&id) else { return };
-        let (work, time) = (call.work, call.deadline.saturating_sub(self.now));
-        let drawn = Some(call.copy).filter(|&copy| self.is_present(copy));
-        let Some(copy) = drawn.or_else(|| self.present_copy(id)) else {
+        let (spec, timeout) = (call.spec, call.deadline.saturating_sub(self.now));
+        let assigned = Some(call.balancer).filter(|&balancer| self.is_available(balancer));
+        let Some(balancer) = assigned.or_else(|| self.available_balancer(id)) else {
             return self.end_call(id, CallEnd::Failed);
         };
-        let request = self.take(copy, Origin::Client(id), work, time);
+        let request = self.accept_request(balancer, Caller::Client(id), spec, timeout);
         if request.is_none() {
             return self.end_call(id, CallEnd::Failed);
         }
@@ -83,14 +83,15 @@
     }
 
     /// One of the copies whose machine is there, spread evenly by the call's number.
-    fn present_copy(&self, id: CallId) -> Option<usize> {
-        let present: Vec<usize> = (0..self.copies.len()).filter(|&copy| self.is_present(copy)).collect();
-        let spread = id.0.wrapping_mul(SPREAD) >> u32::BITS;
-        present.get(spread as usize % present.len().max(1)).copied()
+    fn available_balancer(&self, id: CallId) -> Option<usize> {
+        let available: Vec<usize> =
+            (0..self.balancers.len()).filter(|&balancer| self.is_available(balancer)).collect();
+        let hash = id.0.wrapping_mul(HASH_MULTIPLIER) >> u32::BITS;
+        available.get(hash as usize % available.len().max(1)).copied()
     }
 
-    fn is_present(&self, copy: usize) -> bool {
-        let node = &self.nodes[self.node_of(copy)];
+    fn is_available(&self, balancer: usize) -> bool {
+        let node = &self.nodes[self.node_of(balancer)];
         !node.silent && !node.down
     }
 
@@ -104,10 +105,10 @@
             Answer::Served => CallEnd::Served,
             Answer::Failed => CallEnd::Failed,
             Answer::Refused { retry_after } => {
-                let again = now + retry_after.unwrap_or(RETRY_PAUSE);
-                if call.retries_left > 0 && again < call.deadline {
+                let retry_at = now + retry_after.unwrap_or(DEFAULT_RETRY_DELAY);
+                if call.retries_left > 0 && retry_at < call.deadline {
                     call.retries_left -= 1;
-                    return self.schedule.add(again, Due::Retry(id));
+                    return self.schedule.add(retry_at, TimedEvent::Retry(id));
                 }
                 CallEnd::Refused
             }
@@ -116,9 +117,9 @@
     }
 
     /// A client closes its connection before the answer.
-    pub(super) fn client_leaves(&mut self, id: CallId) {
+    pub(super) fn client_left(&mut self, id: CallId) {
         if let Some(request) = self.calls.get(&id).and_then(|call| call.request) {
-            self.caller_left(request);
+            self.abandon_request(request);
         }
         self.end_call(id, CallEnd::ClientLeft);
     }
@@ -127,17 +128,17 @@
     pub(super) fn fail_at_deadline(&mut self, id: CallId) {
         if let Some(call) = self.calls.get_mut(&id) {
             call.request = None;
-            self.schedule.add(call.deadline, Due::TimeUp(id));
+            self.schedule.add(call.deadline, TimedEvent::ClientDeadline(id));
         }
     }
 
     /// The time of a client that gets no answer is up.
-    pub(super) fn time_is_up(&mut self, id: CallId) {
+    pub(super) fn client_deadline_passed(&mut self, id: CallId) {
         self.end_call(id, CallEnd::Failed);
     }
 
     /// A call is still without an answer.
-    pub(super) fn call_is_lost(&mut self, id: CallId) {
+    pub(super) fn call_lost(&mut self, id: CallId) {
         self.end_call(id, CallEnd::Lost);
     }
 
@@ -147,10 +148,10 @@
         self.progress.call_ended();
         self.record.add_call(Call {
             carrier: Carrier::Hollow,
-            hops: call.work.hops,
+            hops: call.spec.hops,
             end,
-            latency: self.now.saturating_sub(call.arrived),
-            ended_at: self.zero + self.now,
+            latency: self.now.saturating_sub(call.arrived_at),
+            ended_at: self.epoch + self.now,
         });
     }
 }
--- /dev/null
+++ b/scale/src/hollow/host/executions.rs
@@ -0,0 +1,79 @@
+//! Requests on modelled nodes: their work, their calls to the next service and their answers.
+
+use stilelead_decision::interface::{LoadReport, Outcome};
+
+use super::HollowHost;
+use crate::hollow::calls::{Answer, Caller, ExecutionId, RequestSpec};
+use crate::node::model::WorkOutcome;
+
+impl HollowHost {
+    /// A node is done with its own work for a request: it calls on, or answers.
+    pub(super) fn work_done(&mut self, id: ExecutionId) {
+        let Some(execution) = self.executions.get(&id) else { return };
+        if self.nodes[execution.node].silent {
+            self.executions.remove(&id);
+            return;
+        }
+        match execution.spec.next_hop() {
+            Some(spec) => self.call_next_service(id, spec),
+            None => {
+                let outcome = match execution.outcome {
+                    WorkOutcome::Served => Outcome::Good,
+                    WorkOutcome::Error => Outcome::Error,
+                    WorkOutcome::Reset => Outcome::Reset,
+                };
+                self.finish_execution(id, outcome);
+            }
+        }
+    }
+
+    fn call_next_service(&mut self, id: ExecutionId, spec: RequestSpec) {
+        let Some(execution) = self.executions.get(&id) else { return };
+        let timeout = execution.deadline.saturating_sub(self.now);
+        if timeout.is_zero() {
+            return self.finish_execution(id, Outcome::Error);
+        }
+        let balancer = self.balancer_of(execution.node);
+        let downstream = self.accept_request(balancer, Caller::Node(id), spec, timeout);
+        if downstream.is_none() {
+            return self.finish_execution(id, Outcome::Error);
+        }
+        if let Some(execution) = self.executions.get_mut(&id) {
+            execution.downstream = downstream;
+        }
+    }
+
+    /// The next service has answered a node.
+    pub(super) fn downstream_answered(&mut self, id: ExecutionId, answer: Answer) {
+        let Some(execution) = self.executions.get_mut(&id) else { return };
+        execution.downstream = None;
+        let served = matches!(answer, Answer::Served);
+        self.finish_execution(id, if served { Outcome::Good } else { Outcome::Error });
+    }
+
+    /// A node answers; what cannot get through is waited for in vain.
+    fn finish_execution(&mut self, id: ExecutionId, outcome: Outcome) {
+        let Some(execution) = self.executions.remove(&id) else { return };
+        if self.is_unreachable(execution.balancer, execution.node) {
+            return;
+        }
+        let load = if outcome == Outcome::Reset {
+            None
+        } else {
+            self.load_report(execution.balancer, execution.node)
+        };
+        self.end_attempt(execution.attempt, outcome, load);
+    }
+
+    /// A node's caller is gone: it gives up its own call.
+    pub(super) fn cancel_execution(&mut self, id: ExecutionId) {
+        if let Some(request) = self.executions.remove(&id).and_then(|execution| execution.downstream) {
+            self.abandon_request(request);
+        }
+    }
+
+    /// What an answer of a node tells a copy of its load.
+    pub(super) fn load_report(&self, balancer: usize, node: usize) -> Option<LoadReport> {
+        self.nodes[node].load_report(self.now, self.balancers[balancer].load_fields())
+    }
+}
--- a/scale/src/hollow/host/faults.rs
+++ b/scale/src/hollow/host/faults.rs
@@ -2,28 +2,28 @@
 
 use stilelead_decision::interface::{AttemptNumber, Outcome, RequestId};
 
-use super::Host;
-use crate::hollow::calls::{AttemptId, Origin};
+use super::HollowHost;
+use crate::hollow::calls::{AttemptId, Caller};
 use crate::record::CallEnd;
 
-impl Host {
+impl HollowHost {
     /// The machine of a node says nothing from now on, or is back. Calls at the copy on it stay without an answer,
     /// which is not the balancer's doing: they fail when their time is up. Its copy takes no calls meanwhile.
-    pub fn silence(&mut self, node: usize, silent: bool) {
+    pub fn set_silent(&mut self, node: usize, silent: bool) {
         self.catch_up();
         if std::mem::replace(&mut self.nodes[node].silent, silent) || !silent {
             return;
         }
-        for request in self.requests_at(self.copy_of(node)) {
-            let waiting = self.requests.get(&request).filter(|held| !held.answered);
-            match waiting.map(|held| held.origin) {
-                Some(Origin::Client(call)) => self.fail_at_deadline(call),
-                Some(Origin::Node(run)) => drop(self.runs.remove(&run)),
+        for request in self.requests_at(self.balancer_of(node)) {
+            let unanswered = self.requests.get(&request).filter(|open_request| !open_request.answered);
+            match unanswered.map(|open_request| open_request.caller) {
+                Some(Caller::Client(call)) => self.fail_at_deadline(call),
+                Some(Caller::Node(execution)) => drop(self.executions.remove(&execution)),
                 None => {}
             }
-            self.caller_left(request);
+            self.abandon_request(request);
         }
-        self.run_steps();
+        self.process_steps();
     }
 
     /// The processes of a node and of its copy end and start anew, the node cold.
@@ -31,21 +31,21 @@
         self.catch_up();
         self.nodes[node].restart(self.now);
         self.end_attempts_on(node);
-        self.run_steps();
-        self.restart_copy(self.copy_of(node));
-        self.run_steps();
+        self.process_steps();
+        self.restart_balancer(self.balancer_of(node));
+        self.process_steps();
     }
 
     /// The regions lose each other, or find each other again.
-    pub fn cut_regions(&mut self, cut: bool) {
+    pub fn set_regions_cut(&mut self, cut: bool) {
         self.catch_up();
         self.regions_cut = cut;
     }
 
     /// A node was pushed over while cold: its process ends.
-    pub(super) fn node_falls(&mut self, node: usize) {
+    pub(super) fn node_collapsed(&mut self, node: usize) {
         if !self.nodes[node].down {
-            self.nodes[node].end();
+            self.nodes[node].stop();
             self.record.measured().cold_falls += 1;
         }
         self.end_attempts_on(node);
@@ -54,8 +54,8 @@
     /// Ends all attempts on a node whose process is gone.
     fn end_attempts_on(&mut self, node: usize) {
         let mut broken = Vec::new();
-        for (&request, held) in &self.requests {
-            for (number, attempt) in (0..).zip(&held.attempts) {
+        for (&request, open_request) in &self.requests {
+            for (number, attempt) in (0..).zip(&open_request.attempts) {
                 if attempt.as_ref().is_some_and(|attempt| attempt.node == Some(node)) {
                     let number = AttemptNumber(number);
                     broken.push(AttemptId { request, number });
@@ -64,41 +64,44 @@
         }
         broken.sort_by_key(|id| (id.request, id.number));
         for id in broken {
-            let sent = self.requests.get_mut(&id.request).and_then(|held| held.attempt(id.number)?.sent);
-            let outcome = if sent.is_some() { Outcome::Reset } else { Outcome::ConnectFailed };
+            let sent_at = self
+                .requests
+                .get_mut(&id.request)
+                .and_then(|open_request| open_request.attempt(id.number)?.sent_at);
+            let outcome = if sent_at.is_some() { Outcome::Reset } else { Outcome::ConnectFailed };
             self.end_attempt(id, outcome, None);
         }
     }
 
     /// The process of a copy ends, and with it what it holds; a new one starts.
-    fn restart_copy(&mut self, copy: usize) {
-        for id in self.requests_at(copy) {
-            let Some(held) = self.requests.remove(&id) else { continue };
-            if let Origin::Client(call) = held.origin
-                && !held.answered
+    fn restart_balancer(&mut self, balancer: usize) {
+        for id in self.requests_at(balancer) {
+            let Some(open_request) = self.requests.remove(&id) else { continue };
+            if let Caller::Client(call) = open_request.caller
+                && !open_request.answered
             {
                 self.end_call(call, CallEnd::Failed);
             }
-            for attempt in held.attempts.into_iter().flatten() {
-                self.close(attempt.connection);
-                if let Some(run) = attempt.run {
-                    self.give_up(run);
+            for attempt in open_request.attempts.into_iter().flatten() {
+                self.close_connections(attempt.connection);
+                if let Some(execution) = attempt.execution {
+                    self.cancel_execution(execution);
                 }
             }
         }
-        let idle = self.copies[copy].idle.drain_others(|_| false);
-        self.close(idle);
-        let life = self.copies[copy].life + 1;
-        match self.new_copy(copy, life) {
-            Ok(new) => self.replace_copy(copy, new),
+        let idle = self.balancers[balancer].idle.drain_except(|_| false);
+        self.close_connections(idle);
+        let generation = self.balancers[balancer].generation + 1;
+        match self.new_balancer(balancer, generation) {
+            Ok(new_balancer) => self.replace_balancer(balancer, new_balancer),
             Err(error) => tracing::error!(%error, "a hollow copy does not start again"),
         }
     }
 
     /// The requests that a copy holds, in the order taken.
-    fn requests_at(&self, copy: usize) -> Vec<RequestId> {
-        let held = self.requests.iter().filter(|(_, held)| held.copy == copy);
-        let mut ids: Vec<RequestId> = held.map(|(&id, _)| id).collect();
+    fn requests_at(&self, balancer: usize) -> Vec<RequestId> {
+        let at_balancer = self.requests.iter().filter(|(_, open_request)| open_request.balancer == balancer);
+        let mut ids: Vec<RequestId> = at_balancer.map(|(&id, _)| id).collect();
         ids.sort();
         ids
     }
--- a/scale/src/hollow/host/requests.rs
+++ b/scale/src/hollow/host/requests.rs
@@ -6,38 +6,38 @@
 use stilelead_decision::Event;
 use stilelead_decision::interface::{Request, RequestId};
 
-use super::{Host, Step};
-use crate::hollow::calls::{Answer, HeldRequest, Origin, Work};
-use crate::hollow::schedule::Due;
+use super::{HollowHost, Step};
+use crate::hollow::calls::{Answer, Caller, OpenRequest, RequestSpec};
+use crate::hollow::schedule::TimedEvent;
 use crate::topology::Carrier;
 
-impl Host {
+impl HollowHost {
     /// A copy takes a request from a caller that waits for `time`; `None` if its settings do not know the class.
-    pub(super) fn take(
+    pub(super) fn accept_request(
         &mut self,
-        copy: usize,
-        origin: Origin,
-        work: Work,
-        time: Duration,
+        balancer: usize,
+        caller: Caller,
+        spec: RequestSpec,
+        timeout: Duration,
     ) -> Option<RequestId> {
-        self.record.count_hop_call(Carrier::Hollow, work.hop);
-        let class = self.copies[copy].class(work.class)?;
-        let tenant = self.copies[copy].tenant(work.tenant);
-        let id = RequestId(self.number());
-        let time_left = time.saturating_sub(DEADLINE_MARGIN);
+        self.record.count_hop_call(Carrier::Hollow, spec.hop);
+        let class = self.balancers[balancer].class(spec.class)?;
+        let tenant = self.balancers[balancer].tenant(spec.tenant);
+        let id = RequestId(self.next_number());
+        let time_left = timeout.saturating_sub(DEADLINE_MARGIN);
         let deadline = self.now + time_left;
-        let held = HeldRequest {
-            copy,
-            origin,
-            work,
+        let open_request = OpenRequest {
+            balancer,
+            caller,
+            spec,
             deadline,
             answered: false,
             attempts: Vec::new(),
-            out: 0,
-            runs: 0,
+            in_flight: 0,
+            times_accepted: 0,
         };
-        self.requests.insert(id, held);
-        self.schedule.add(deadline + FINAL_ANSWER_GRACE, Due::Overdue(id));
+        self.requests.insert(id, open_request);
+        self.schedule.add(deadline + FINAL_ANSWER_GRACE, TimedEvent::RequestOverdue(id));
         let request = Request {
             id,
             class,
@@ -47,43 +47,49 @@
             expected_work: None,
             is_retry: false,
         };
-        self.tell(copy, Event::Request(request));
+        self.push_event(balancer, Event::Request(request));
         Some(id)
     }
 
     /// The decisions have answered a request.
-    pub(super) fn answer(&mut self, id: RequestId, answer: Answer) {
-        let Some(held) = self.requests.get_mut(&id) else { return };
-        if held.answered {
+    pub(super) fn answer_request(&mut self, id: RequestId, answer: Answer) {
+        let Some(open_request) = self.requests.get_mut(&id) else { return };
+        if open_request.answered {
             return;
         }
-        held.answered = true;
-        self.steps.push_back(Step::Answered { origin: held.origin, answer });
-        self.release(id);
+        open_request.answered = true;
+        self.steps.push_back(Step::Answered { caller: open_request.caller, answer });
+        self.remove_if_finished(id);
     }
 
     /// The decisions have not answered in time: the balancer does.
-    pub(super) fn overdue(&mut self, id: RequestId) {
-        let Some(held) = self.requests.get(&id).filter(|held| !held.answered) else { return };
-        self.steps.push_back(Step::Answered { origin: held.origin, answer: Answer::Failed });
-        self.caller_left(id);
+    pub(super) fn request_overdue(&mut self, id: RequestId) {
+        let Some(open_request) = self.requests.get(&id).filter(|open_request| !open_request.answered) else {
+            return;
+        };
+        self.steps.push_back(Step::Answered { caller: open_request.caller, answer: Answer::Failed });
+        self.abandon_request(id);
     }
 
     /// Nobody waits for a request any more: what has not gone out whole is taken back.
-    pub(super) fn caller_left(&mut self, id: RequestId) {
-        let Some(held) = self.requests.get_mut(&id) else { return };
-        if std::mem::replace(&mut held.answered, true) {
+    pub(super) fn abandon_request(&mut self, id: RequestId) {
+        let Some(open_request) = self.requests.get_mut(&id) else { return };
+        if std::mem::replace(&mut open_request.answered, true) {
             return;
         }
-        let copy = held.copy;
-        self.tell(copy, Event::RequestAbandoned(id));
-        self.take_back_unsent(id);
-        self.release(id);
+        let balancer = open_request.balancer;
+        self.push_event(balancer, Event::RequestAbandoned(id));
+        self.withdraw_unsent_attempts(id);
+        self.remove_if_finished(id);
     }
 
     /// Forgets a request that is answered and has no attempt out.
-    pub(super) fn release(&mut self, id: RequestId) {
-        if self.requests.get(&id).is_some_and(|held| held.answered && held.out == 0) {
+    pub(super) fn remove_if_finished(&mut self, id: RequestId) {
+        if self
+            .requests
+            .get(&id)
+            .is_some_and(|open_request| open_request.answered && open_request.in_flight == 0)
+        {
             self.requests.remove(&id);
         }
     }
--- a/scale/src/hollow/mod.rs
+++ b/scale/src/hollow/mod.rs
@@ -5,9 +5,9 @@
 //! real loopback connections; calls take no time but that of the nodes' work, and use no descriptors.
 
 mod arrivals;
+mod balancer;
 mod calls;
 mod connections;
-mod copy;
 mod host;
 mod nodes;
 mod plan;
@@ -36,10 +36,10 @@
 #[derive(Debug, Error)]
 pub enum HollowError {
     /// A copy cannot start from its configuration.
-    #[error("the configuration of {copy} cannot be used: {cause}")]
+    #[error("the configuration of {balancer} cannot be used: {cause}")]
     Configuration {
         /// The copy's name.
-        copy: String,
+        balancer: String,
         /// Why.
         cause: ConfigError,
     },
@@ -56,17 +56,17 @@
 pub struct HollowEnd {
     /// The longest time from when something fell due during the load until it was handled: well above some
     /// milliseconds, the thread could not carry the load.
-    pub behind: Duration,
+    pub max_lateness: Duration,
     /// Calls that had no end yet and are in no figure.
     pub open_calls: usize,
 }
 
 enum Command {
     BeginLoad(Instant),
-    Silence { node: usize, silent: bool },
+    SetSilent { node: usize, silent: bool },
     Restart { node: usize },
-    CutRegions(bool),
-    Reload { copy: usize, configuration: String, at: Instant },
+    SetRegionsCut(bool),
+    Reload { balancer: usize, configuration: String, requested_at: Instant },
     Stop,
 }
 
@@ -76,7 +76,7 @@
     commands: UnboundedSender<Command>,
     thread: JoinHandle<()>,
     progress: Arc<Progress>,
-    hollow: usize,
+    node_count: usize,
 }
 
 impl HollowFleet {
@@ -93,22 +93,22 @@
         seed: u64,
     ) -> Result<Self, HollowError> {
         let plan = Plan { scenario: scenario.clone(), topology: topology.clone(), seed };
-        let hollow = plan.hollow();
+        let node_count = plan.hollow_count();
         let progress = Arc::new(Progress::default());
-        let (commands, told) = unbounded_channel();
-        let (started, starting) = mpsc::channel();
-        let start = thread::Start {
+        let (commands, command_receiver) = unbounded_channel();
+        let (started, started_receiver) = mpsc::channel();
+        let input = thread::ThreadInput {
             plan,
             control: Arc::clone(control),
             record,
             progress: Arc::clone(&progress),
-            commands: told,
+            commands: command_receiver,
             started,
         };
         let thread =
-            std::thread::Builder::new().name("hollow".to_owned()).spawn(move || thread::run(start))?;
-        starting.recv().map_err(|_| HollowError::Ended)??;
-        Ok(Self { commands, thread, progress, hollow })
+            std::thread::Builder::new().name("hollow".to_owned()).spawn(move || thread::run_thread(input))?;
+        started_receiver.recv().map_err(|_| HollowError::Ended)??;
+        Ok(Self { commands, thread, progress, node_count })
     }
 
     /// Calls arrive from `start` on.
@@ -118,42 +118,42 @@
 
     /// The machine of a hollow node, with the copy on it, says nothing from now on, or is back. Other nodes are passed
     /// over.
-    pub fn silence(&self, node: NodeId, silent: bool) {
-        if node.0 < self.hollow {
-            self.send(Command::Silence { node: node.0, silent });
+    pub fn set_silent(&self, node: NodeId, silent: bool) {
+        if node.0 < self.node_count {
+            self.send(Command::SetSilent { node: node.0, silent });
         }
     }
 
     /// The processes of a hollow node and of the copy on it end and start anew, the node cold. Other nodes are passed
     /// over.
     pub fn restart(&self, node: NodeId) {
-        if node.0 < self.hollow {
+        if node.0 < self.node_count {
             self.send(Command::Restart { node: node.0 });
         }
     }
 
     /// Calls between regions are silent from now on, or no longer.
-    pub fn cut_regions(&self, cut: bool) {
-        self.send(Command::CutRegions(cut));
+    pub fn set_regions_cut(&self, cut: bool) {
+        self.send(Command::SetRegionsCut(cut));
     }
 
     /// Gives a hollow copy a new configuration, as SIGHUP would. Other copies are passed over.
-    pub fn reload(&self, copy: CopyId, configuration: String) {
-        if copy.0 < self.hollow {
-            self.send(Command::Reload { copy: copy.0, configuration, at: Instant::now() });
+    pub fn reload(&self, balancer: CopyId, configuration: String) {
+        if balancer.0 < self.node_count {
+            self.send(Command::Reload { balancer: balancer.0, configuration, requested_at: Instant::now() });
         }
     }
 
     /// Copies with an endpoint to send to, be it from their configuration.
     #[must_use]
-    pub fn ready(&self) -> usize {
-        self.progress.ready()
+    pub fn ready_count(&self) -> usize {
+        self.progress.ready_count()
     }
 
     /// Copies whose watch stands and has told them something.
     #[must_use]
-    pub fn watching(&self) -> usize {
-        self.progress.watching()
+    pub fn watching_count(&self) -> usize {
+        self.progress.watching_count()
     }
 
     /// Calls that have arrived and not ended. After the load, all have ended when the clients' time and half a
@@ -170,7 +170,7 @@
     pub fn stop(self) -> Result<HollowEnd, HollowError> {
         self.send(Command::Stop);
         self.thread.join().map_err(|_| HollowError::Ended)?;
-        Ok(HollowEnd { behind: self.progress.behind(), open_calls: self.progress.open_calls() })
+        Ok(HollowEnd { max_lateness: self.progress.max_lateness(), open_calls: self.progress.open_calls() })
     }
 
     /// A thread that has ended takes no commands, which shows when it is stopped.
--- a/scale/src/hollow/nodes.rs
+++ b/scale/src/hollow/nodes.rs
@@ -11,7 +11,7 @@
 use crate::topology::RegionId;
 
 /// Odd, so that the nodes of one run have different seeds.
-const SEED_SPREAD: u64 = 0x9e37_79b9_7f4a_7c15;
+const SEED_MULTIPLIER: u64 = 0x9e37_79b9_7f4a_7c15;
 
 /// A node with its connections.
 #[derive(Debug)]
@@ -25,53 +25,61 @@
     /// Its process has ended and was not started again.
     pub down: bool,
     /// Counts its processes.
-    pub life: u64,
-    open: u32,
-    most: u32,
+    pub generation: u64,
+    open_connections: u32,
+    max_connections: u32,
 }
 
 impl ModelledNode {
     /// A warm node.
     pub fn new(settings: &scenario::Node, region: RegionId, number: usize, seed: u64) -> Self {
-        let seed = seed ^ (number as u64 + 1).wrapping_mul(SEED_SPREAD);
+        let seed = seed ^ (number as u64 + 1).wrapping_mul(SEED_MULTIPLIER);
         let model = NodeModel::new(settings, seed);
-        Self { model, region, silent: false, down: false, life: 0, open: 0, most: settings.connections }
+        Self {
+            model,
+            region,
+            silent: false,
+            down: false,
+            generation: 0,
+            open_connections: 0,
+            max_connections: settings.connections,
+        }
     }
 
     /// Takes a new connection; `None` if it holds as many as it can.
-    pub fn accept(&mut self, node: usize, now: Duration) -> Option<Connection> {
-        if self.open >= self.most {
+    pub fn accept_connection(&mut self, node: usize, now: Duration) -> Option<Connection> {
+        if self.open_connections >= self.max_connections {
             return None;
         }
-        self.open += 1;
+        self.open_connections += 1;
         self.model.add_connection(now);
-        Some(Connection { node, life: self.life })
+        Some(Connection { node, generation: self.generation })
     }
 
     /// A connection was closed from the other side.
-    pub fn closed(&mut self, connection: Connection) {
-        if connection.life == self.life {
-            self.open = self.open.saturating_sub(1);
+    pub fn connection_closed(&mut self, connection: Connection) {
+        if connection.generation == self.generation {
+            self.open_connections = self.open_connections.saturating_sub(1);
         }
     }
 
     /// Its process ends, and its connections with it.
-    pub fn end(&mut self) {
+    pub fn stop(&mut self) {
         self.down = true;
-        self.life += 1;
-        self.open = 0;
+        self.generation += 1;
+        self.open_connections = 0;
     }
 
     /// A new process has started, cold.
     pub fn restart(&mut self, now: Duration) {
-        self.end();
+        self.stop();
         self.down = false;
         self.silent = false;
         self.model.restart(now);
     }
 
     /// What its answers tell of its load, in the fields that the settings name.
-    pub fn report(&self, now: Duration, fields: &[String]) -> Option<LoadReport> {
+    pub fn load_report(&self, now: Duration, fields: &[String]) -> Option<LoadReport> {
         if fields.is_empty() {
             return None;
         }
--- a/scale/src/hollow/plan.rs
+++ b/scale/src/hollow/plan.rs
@@ -8,7 +8,7 @@
 use crate::topology::{Carrier, CopyId, Topology};
 
 /// Where hollow copies are told to listen; nobody does.
-const LISTEN: SocketAddr = SocketAddr::new(std::net::IpAddr::V4(Ipv4Addr::LOCALHOST), 9);
+const UNUSED_ADDRESS: SocketAddr = SocketAddr::new(std::net::IpAddr::V4(Ipv4Addr::LOCALHOST), 9);
 
 /// The scenario of a run and who stands where in it.
 #[derive(Debug, Clone)]
@@ -23,15 +23,23 @@
 
 impl Plan {
     /// Hollow copies, and hollow nodes: they come first in the topology, one copy on each node.
-    pub fn hollow(&self) -> usize {
-        self.topology.copies.iter().filter(|copy| copy.carrier == Carrier::Hollow).count()
+    pub fn hollow_count(&self) -> usize {
+        self.topology.copies.iter().filter(|balancer| balancer.carrier == Carrier::Hollow).count()
     }
 
     /// The text of a copy's configuration, with the list as it is now.
-    pub fn configuration(&self, copy: CopyId, control: &ControlPlane) -> String {
-        let known = control.list(self.topology.copies[copy.0].target);
-        let address = control.address(copy);
-        settings::configuration(&self.scenario, &self.topology, copy, LISTEN, address, &known, None)
+    pub fn configuration(&self, balancer: CopyId, control: &ControlPlane) -> String {
+        let list = control.list(self.topology.copies[balancer.0].target);
+        let address = control.address(balancer);
+        settings::configuration(
+            &self.scenario,
+            &self.topology,
+            balancer,
+            UNUSED_ADDRESS,
+            address,
+            &list,
+            None,
+        )
     }
 }
 
--- a/scale/src/hollow/progress.rs
+++ b/scale/src/hollow/progress.rs
@@ -9,17 +9,17 @@
     ready: AtomicUsize,
     watching: AtomicUsize,
     open_calls: AtomicUsize,
-    behind_us: AtomicU64,
+    max_lateness_us: AtomicU64,
 }
 
 impl Progress {
     /// Copies with an endpoint to send to.
-    pub fn ready(&self) -> usize {
+    pub fn ready_count(&self) -> usize {
         self.ready.load(Ordering::Relaxed)
     }
 
     /// Copies whose watch stands and has told them something.
-    pub fn watching(&self) -> usize {
+    pub fn watching_count(&self) -> usize {
         self.watching.load(Ordering::Relaxed)
     }
 
@@ -29,18 +29,18 @@
     }
 
     /// The longest time from when something fell due during the load until it was handled.
-    pub fn behind(&self) -> Duration {
-        Duration::from_micros(self.behind_us.load(Ordering::Relaxed))
+    pub fn max_lateness(&self) -> Duration {
+        Duration::from_micros(self.max_lateness_us.load(Ordering::Relaxed))
     }
 
     /// A copy that could serve, or not, now can or cannot.
-    pub fn now_ready(&self, before: bool, after: bool) {
-        change(&self.ready, before, after);
+    pub fn ready_changed(&self, before: bool, after: bool) {
+        update_count(&self.ready, before, after);
     }
 
     /// A copy whose watch had told something, or not, now has or has not.
-    pub fn now_watching(&self, before: bool, after: bool) {
-        change(&self.watching, before, after);
+    pub fn watching_changed(&self, before: bool, after: bool) {
+        update_count(&self.watching, before, after);
     }
 
     /// A call has arrived.
@@ -54,13 +54,13 @@
     }
 
     /// Something was handled so late.
-    pub fn was_behind(&self, behind: Duration) {
-        let behind_us = u64::try_from(behind.as_micros()).unwrap_or(u64::MAX);
-        self.behind_us.fetch_max(behind_us, Ordering::Relaxed);
+    pub fn record_lateness(&self, lateness: Duration) {
+        let lateness_us = u64::try_from(lateness.as_micros()).unwrap_or(u64::MAX);
+        self.max_lateness_us.fetch_max(lateness_us, Ordering::Relaxed);
     }
 }
 
-fn change(count: &AtomicUsize, before: bool, after: bool) {
+fn update_count(count: &AtomicUsize, before: bool, after: bool) {
     match (before, after) {
         (false, true) => drop(count.fetch_add(1, Ordering::Relaxed)),
         (true, false) => drop(count.fetch_sub(1, Ordering::Relaxed)),
--- a/scale/src/hollow/schedule.rs
+++ b/scale/src/hollow/schedule.rs
@@ -6,57 +6,57 @@
 
 use stilelead_decision::interface::RequestId;
 
-use super::calls::{AttemptId, CallId, RunId};
+use super::calls::{AttemptId, CallId, ExecutionId};
 
 /// What falls due.
 #[derive(Debug, Clone, Copy)]
-pub(super) enum Due {
+pub(super) enum TimedEvent {
     /// The next first-hop call arrives.
     Arrival,
     /// A client repeats a call that was refused.
     Retry(CallId),
     /// A client leaves.
-    Leave(CallId),
+    ClientLeaves(CallId),
     /// A client whose balancer's machine is gone has no more time.
-    TimeUp(CallId),
+    ClientDeadline(CallId),
     /// A call that has no answer by now is lost.
-    Lost(CallId),
+    CallLost(CallId),
     /// The balancer answers a request in place of its decisions.
-    Overdue(RequestId),
+    RequestOverdue(RequestId),
     /// An attempt has had its time.
     AttemptTimeout(AttemptId),
     /// A connection that does not come up is given up.
     ConnectTimeout(AttemptId),
     /// A node is done with its own work.
-    WorkDone(RunId),
+    WorkDone(ExecutionId),
     /// A copy's decisions asked to be woken, in that life of its process.
     Wake {
         /// Position of the copy.
-        copy: usize,
+        balancer: usize,
         /// The life.
-        life: u64,
+        generation: u64,
     },
     /// A copy closes connections that have been idle for too long.
-    Sweep {
+    SweepIdleConnections {
         /// Position of the copy.
-        copy: usize,
+        balancer: usize,
     },
 }
 
 /// An entry that has fallen due.
 #[derive(Debug, Clone, Copy)]
-pub(super) struct DueEntry {
+pub(super) struct DueEvent {
     /// When it fell due.
     pub at: Duration,
     /// What it is.
-    pub due: Due,
+    pub event: TimedEvent,
 }
 
 #[derive(Debug)]
 struct Entry {
     at: Duration,
     order: u64,
-    due: Due,
+    event: TimedEvent,
 }
 
 impl Ord for Entry {
@@ -83,14 +83,14 @@
 #[derive(Debug, Default)]
 pub(super) struct Schedule {
     entries: BinaryHeap<Reverse<Entry>>,
-    added: u64,
+    added_count: u64,
 }
 
 impl Schedule {
     /// Adds an entry; times are counted from the start of the hollow part.
-    pub fn add(&mut self, at: Duration, due: Due) {
-        self.added += 1;
-        self.entries.push(Reverse(Entry { at, order: self.added, due }));
+    pub fn add(&mut self, at: Duration, event: TimedEvent) {
+        self.added_count += 1;
+        self.entries.push(Reverse(Entry { at, order: self.added_count, event }));
     }
 
     /// When the next entry falls due.
@@ -99,10 +99,10 @@
     }
 
     /// Takes out the next entry that is due at `now`.
-    pub fn take_due(&mut self, now: Duration) -> Option<DueEntry> {
+    pub fn take_due(&mut self, now: Duration) -> Option<DueEvent> {
         if self.next_at()? > now {
             return None;
         }
-        self.entries.pop().map(|Reverse(entry)| DueEntry { at: entry.at, due: entry.due })
+        self.entries.pop().map(|Reverse(entry)| DueEvent { at: entry.at, event: entry.event })
     }
 }
--- a/scale/src/hollow/tests.rs
+++ b/scale/src/hollow/tests.rs
@@ -71,27 +71,27 @@
         let record = Arc::new(Record::default());
         let control = ControlPlane::start(&scenario, &topology, Arc::clone(&record)).await.expect("ports");
         for (number, service) in topology.services.iter().enumerate() {
-            let listed = service.nodes.iter().map(|&node| endpoint(&topology, node, 1.0)).collect();
-            control.set_list(ServiceId(number), listed);
+            let endpoints = service.nodes.iter().map(|&node| endpoint(&topology, node, 1.0)).collect();
+            control.set_list(ServiceId(number), endpoints);
         }
         let fleet = HollowFleet::start(&scenario, &topology, &control, Arc::clone(&record), scenario.seed);
         let test = Self { fleet: fleet.expect("it starts"), scenario, topology, control, record };
-        test.until("all copies are told", |test| test.fleet.watching() == 24).await;
-        assert_eq!(test.fleet.ready(), 24);
+        test.wait_until("all copies are told", |test| test.fleet.watching_count() == 24).await;
+        assert_eq!(test.fleet.ready_count(), 24);
         test
     }
 
-    async fn until(&self, what: &str, done: impl Fn(&Self) -> bool) {
-        let waiting = async {
+    async fn wait_until(&self, what: &str, done: impl Fn(&Self) -> bool) {
+        let poll = async {
             while !done(self) {
                 sleep(Duration::from_millis(5)).await;
             }
         };
-        timeout(Duration::from_secs(30), waiting).await.unwrap_or_else(|_| panic!("waited in vain: {what}"));
+        timeout(Duration::from_secs(30), poll).await.unwrap_or_else(|_| panic!("waited in vain: {what}"));
     }
 
     fn arrivals(&self) -> Vec<Arrival> {
-        drawn(&self.scenario, self.scenario.seed)
+        draw_arrivals(&self.scenario, self.scenario.seed)
     }
 
     fn ended(&self) -> usize {
@@ -99,22 +99,22 @@
     }
 
     /// Changes that copies were told and that came into force.
-    fn told(&self) -> (u64, u64) {
+    fn list_delay_counts(&self) -> (u64, u64) {
         let measured = self.record.measured();
         (measured.list_delivery_us.count(), measured.list_in_force_us.count())
     }
 
     /// Waits for the last call and checks what holds in every run; returns how many were served.
     async fn finish(self) -> usize {
-        let drawn = self.arrivals().len();
-        self.until("all calls end", |test| test.ended() >= drawn).await;
+        let arrival_count = self.arrivals().len();
+        self.wait_until("all calls end", |test| test.ended() >= arrival_count).await;
         let end = self.fleet.stop().expect("the thread ran to its end");
         assert_eq!(end.open_calls, 0);
         let measured = self.record.measured();
         let count = |end| measured.calls.iter().filter(|call| call.end == end).count();
         let [served, refused, failed, left] =
             [CallEnd::Served, CallEnd::Refused, CallEnd::Failed, CallEnd::ClientLeft].map(count);
-        assert_eq!(served + refused + failed + left, drawn);
+        assert_eq!(served + refused + failed + left, arrival_count);
         assert_eq!((count(CallEnd::Lost), measured.duplicated), (0, 0));
         // A client waits for a second; the balancer's last word comes 2 ms later.
         let late = measured.calls.iter().filter(|call| call.latency > Duration::from_millis(1002)).count();
@@ -123,7 +123,7 @@
     }
 }
 
-fn drawn(scenario: &Scenario, seed: u64) -> Vec<Arrival> {
+fn draw_arrivals(scenario: &Scenario, seed: u64) -> Vec<Arrival> {
     let time = Duration::from_secs_f64(scenario.duration_s);
     Arrivals::new(&scenario.load, scenario.fleet.hollow as usize, time, seed).collect()
 }
@@ -132,10 +132,10 @@
 #[test]
 fn one_seed_draws_the_same_arrivals() {
     let scenario = scenario("");
-    let first = drawn(&scenario, 7);
+    let first = draw_arrivals(&scenario, 7);
     assert!(first.is_sorted_by_key(|arrival| arrival.at));
-    assert_eq!(first, drawn(&scenario, 7));
-    assert_ne!(first, drawn(&scenario, 8));
+    assert_eq!(first, draw_arrivals(&scenario, 7));
+    assert_ne!(first, draw_arrivals(&scenario, 8));
 }
 
 /// Guards the counts of calls, requests and attempts against each other, over calls with errors, resets, repeats and
@@ -149,16 +149,17 @@
     assert!(served > arrivals.len() * 8 / 10, "{served} of {} served", arrivals.len());
     let measured = record.measured();
     let hollow = crate::record::carrier_index(Carrier::Hollow);
-    let deep = arrivals.iter().filter(|arrival| arrival.hops == 4).count() as u64;
+    let four_hop_arrivals = arrivals.iter().filter(|arrival| arrival.hops == 4).count() as u64;
     assert!(measured.hop_calls[hollow][&1] >= arrivals.len() as u64);
     assert_eq!(measured.hop_calls[hollow].keys().copied().max(), Some(4));
-    assert!(measured.attempts[hollow][&4] > deep / 2);
-    let served_deep = measured.calls.iter().filter(|call| call.hops == 4 && call.end == CallEnd::Served);
-    assert!(served_deep.count() as u64 > deep / 2);
+    assert!(measured.attempts[hollow][&4] > four_hop_arrivals / 2);
+    let served_four_hop_calls =
+        measured.calls.iter().filter(|call| call.hops == 4 && call.end == CallEnd::Served);
+    assert!(served_four_hop_calls.count() as u64 > four_hop_arrivals / 2);
 }
 
 /// Calls of one hop that may be repeated, to nodes that serve all they get.
-fn repeatable() -> Scenario {
+fn repeatable_calls_scenario() -> Scenario {
     let mut scenario = scenario("");
     scenario.load.depths = vec![Depth { hops: 1, share: 1.0 }];
     (scenario.load.unsafe_share, scenario.load.leaving_share) = (0.0, 0.0);
@@ -170,26 +171,26 @@
 /// Guards against calls that hang on connections that do not come up: they are repeated elsewhere within their time.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn silent_nodes_are_gone_round() {
-    let test = TestFleet::start(repeatable()).await;
+    let test = TestFleet::start(repeatable_calls_scenario()).await;
     for node in [0, 1, 2, 3] {
-        test.fleet.silence(NodeId(node), true);
+        test.fleet.set_silent(NodeId(node), true);
     }
     test.fleet.begin_load(Instant::now());
-    let drawn = test.arrivals().len();
-    assert_eq!(test.finish().await, drawn);
+    let arrival_count = test.arrivals().len();
+    assert_eq!(test.finish().await, arrival_count);
 }
 
 /// Guards against calls that hang on connections that stood when the other side fell silent: their attempts are given
 /// up when the decisions say, well before the client's time is up.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn attempts_on_silent_connections_time_out() {
-    let test = TestFleet::start(repeatable()).await;
+    let test = TestFleet::start(repeatable_calls_scenario()).await;
     test.fleet.begin_load(Instant::now());
-    test.until("some calls end", |test| test.ended() >= 150).await;
-    test.fleet.cut_regions(true);
-    let (record, drawn) = (Arc::clone(&test.record), test.arrivals().len());
+    test.wait_until("some calls end", |test| test.ended() >= 150).await;
+    test.fleet.set_regions_cut(true);
+    let (record, arrival_count) = (Arc::clone(&test.record), test.arrivals().len());
     let served = test.finish().await;
-    assert!(served < drawn, "no call met a silent connection");
+    assert!(served < arrival_count, "no call met a silent connection");
     let longest = record.measured().calls.iter().map(|call| call.latency).max();
     assert!(longest < Some(Duration::from_millis(900)), "a call took {longest:?}");
 }
@@ -199,16 +200,16 @@
 async fn calls_end_once_through_faults() {
     let test = TestFleet::start(scenario("")).await;
     test.fleet.begin_load(Instant::now());
-    test.until("some calls end", |test| test.ended() >= 50).await;
+    test.wait_until("some calls end", |test| test.ended() >= 50).await;
     test.fleet.restart(NodeId(3));
-    test.fleet.silence(NodeId(4), true);
-    test.until("more calls end", |test| test.ended() >= 120).await;
-    test.fleet.cut_regions(true);
-    test.fleet.silence(NodeId(4), false);
-    test.until("more calls end", |test| test.ended() >= 200).await;
-    test.fleet.cut_regions(false);
+    test.fleet.set_silent(NodeId(4), true);
+    test.wait_until("more calls end", |test| test.ended() >= 120).await;
+    test.fleet.set_regions_cut(true);
+    test.fleet.set_silent(NodeId(4), false);
+    test.wait_until("more calls end", |test| test.ended() >= 200).await;
+    test.fleet.set_regions_cut(false);
     test.fleet.restart(NodeId(4));
-    test.until("the restarted copies are told", |test| test.fleet.watching() == 24).await;
+    test.wait_until("the restarted copies are told", |test| test.fleet.watching_count() == 24).await;
     let served = test.finish().await;
     assert!(served > 0);
 }
@@ -225,30 +226,30 @@
     for replica in 0..3 {
         test.control.stop_replica(replica);
     }
-    test.until("all watches break", |test| test.fleet.watching() == 0).await;
+    test.wait_until("all watches break", |test| test.fleet.watching_count() == 0).await;
     test.control.update_entry(ServiceId(1), endpoint(&test.topology, nodes[0], 1.5));
     test.fleet.begin_load(Instant::now());
     test.control.update_entry(ServiceId(1), endpoint(&test.topology, nodes[1], 2.0));
     for replica in 0..3 {
         test.control.start_replica(replica).await;
     }
-    test.until("all copies are told", |test| test.fleet.watching() == 24).await;
-    assert_eq!(test.told(), (8, 8));
+    test.wait_until("all copies are told", |test| test.fleet.watching_count() == 24).await;
+    assert_eq!(test.list_delay_counts(), (8, 8));
     test.control.break_watches();
     test.control
         .update_entry(ServiceId(2), endpoint(&test.topology, test.topology.services[2].nodes[0], 2.0));
-    test.until("the next change is told", |test| test.told().0 >= 16).await;
-    test.until("all copies are told", |test| test.fleet.watching() == 24).await;
-    assert_eq!(test.told(), (16, 16));
+    test.wait_until("the next change is told", |test| test.list_delay_counts().0 >= 16).await;
+    test.wait_until("all copies are told", |test| test.fleet.watching_count() == 24).await;
+    assert_eq!(test.list_delay_counts(), (16, 16));
     test.fleet.stop().expect("the thread ran to its end");
 }
 
-fn configuration(test: &TestFleet, copy: CopyId, change: SettingsChange) -> String {
-    let known = test.control.list(test.topology.copies[copy.0].target);
+fn configuration(test: &TestFleet, balancer: CopyId, change: SettingsChange) -> String {
+    let list = test.control.list(test.topology.copies[balancer.0].target);
     let listen = "127.0.0.1:9".parse().expect("an address");
-    let address = test.control.address(copy);
+    let address = test.control.address(balancer);
     let (scenario, topology) = (&test.scenario, &test.topology);
-    settings::configuration(scenario, topology, copy, listen, address, &known, Some(change))
+    settings::configuration(scenario, topology, balancer, listen, address, &list, Some(change))
 }
 
 /// Guards the way of new settings to copies that serve, one of which starts anew with them; a text that does not
@@ -257,9 +258,9 @@
 async fn settings_come_into_force_or_are_missed() {
     let test = TestFleet::start(scenario("")).await;
     test.fleet.begin_load(Instant::now());
-    test.until("some calls end", |test| test.ended() >= 50).await;
-    let reload = |copy, change| {
-        test.fleet.reload(CopyId(copy), configuration(&test, CopyId(copy), change));
+    test.wait_until("some calls end", |test| test.ended() >= 50).await;
+    let reload = |balancer, change| {
+        test.fleet.reload(CopyId(balancer), configuration(&test, CopyId(balancer), change));
     };
     reload(4, SettingsChange::AddClass);
     reload(5, SettingsChange::Malformed);
@@ -278,8 +279,8 @@
 async fn given_settings_are_kept_without_the_list() {
     let test = TestFleet::start(scenario("")).await;
     let text = configuration(&test, CopyId(4), SettingsChange::AddClass);
-    let kept = plan::without_list(&text).expect("it parses");
-    let config = Config::parse(&kept, |_| None).expect("a sound configuration");
+    let text_without_list = plan::without_list(&text).expect("it parses");
+    let config = Config::parse(&text_without_list, |_| None).expect("a sound configuration");
     assert!(config.known.is_none());
     assert!(config.loaded.names.classes.contains_key(settings::CLASS_EXTRA));
 }
--- a/scale/src/report.rs
+++ b/scale/src/report.rs
@@ -216,7 +216,7 @@
             control_core_percent: balancer_core.filter(|_| without_calls),
             balancer_core_percent: balancer_core,
             hollow_core_percent: hollow_core.is_finite().then_some(hollow_core),
-            hollow_max_lag_ms: run.hollow_end.map(|end| end.behind.as_secs_f64() * MS_PER_S),
+            hollow_max_lag_ms: run.hollow_end.map(|end| end.max_lateness.as_secs_f64() * MS_PER_S),
             hollow_open_calls: run.hollow_end.map(|end| end.open_calls),
             memory_mb: sample_stats(|usage| usage.memory_mb),
             descriptors: sample_stats(|usage| usage.descriptors as f64),
--- a/scale/src/run/fleet.rs
+++ b/scale/src/run/fleet.rs
@@ -104,7 +104,7 @@
     /// Lower bound of the number of balancers that can serve and have received their list.
     fn ready_balancers(&self) -> usize {
         let with_current_list = self.topology.copies.len() - self.balancers_with_stale_list();
-        let able_to_serve = self.hollow.as_ref().map_or(0, HollowFleet::ready) + self.balancers.len();
+        let able_to_serve = self.hollow.as_ref().map_or(0, HollowFleet::ready_count) + self.balancers.len();
         with_current_list.min(able_to_serve)
     }
 
--- a/scale/src/run/perform.rs
+++ b/scale/src/run/perform.rs
@@ -78,7 +78,7 @@
         if self.fleet.is_real(node) {
             self.fleet.nodes.set_silent(node, silent);
         } else if let Some(hollow) = &self.fleet.hollow {
-            hollow.silence(node, silent);
+            hollow.set_silent(node, silent);
         }
     }
 
@@ -100,13 +100,13 @@
             });
         } else if let Some(hollow) = &self.fleet.hollow {
             hollow.restart(node);
-            hollow.silence(node, false);
+            hollow.set_silent(node, false);
         }
     }
 
     fn cut_hollow(&self, cut: bool) {
         if let Some(hollow) = &self.fleet.hollow {
-            hollow.cut_regions(cut);
+            hollow.set_regions_cut(cut);
         }
     }
 
