--- a/scale/src/hollow/arrivals.rs
+++ b/scale/src/hollow/arrivals.rs
@@ -1,4 +1,5 @@
-//! First-hop calls to hollow copies, drawn ahead of what becomes of them: one seed, one sequence.
+//! Random arrivals of first-hop calls at hollow balancers. They do not depend on how calls end, so a seed
+//! always gives the same sequence.
 
 use std::time::Duration;
 
@@ -9,27 +10,28 @@
 use crate::process::settings::TENANT_COUNT;
 use crate::scenario::{Depth, Load};
 
-/// Part of its deadline after which a client that leaves has left, at the latest.
+/// A client that leaves early does so within this fraction of its deadline.
 const MAX_LEAVE_FRACTION: f64 = 0.5;
 
 /// A first-hop call.
 #[derive(Debug, Clone, PartialEq)]
 pub(super) struct Arrival {
-    /// When, counted from the start of the load.
+    /// When the call arrives, counted from the start of the load.
     pub at: Duration,
-    /// Position of the hollow copy that it goes to.
+    /// Index of the hollow balancer that it is sent to.
     pub balancer: usize,
     /// Hops from the client to the last node.
     pub hops: u32,
-    /// Its class.
+    /// Class of the call.
     pub class: CallClass,
     /// Number of its tenant.
     pub tenant: u32,
-    /// Its client leaves after this, answered or not.
+    /// The client closes its connection after this time if the call has not ended; `None` if it waits until
+    /// its deadline.
     pub client_leaves_after: Option<Duration>,
 }
 
-/// The arrivals of a run, in order of time.
+/// The arrivals of a run, ordered by time.
 #[derive(Debug)]
 pub(super) struct Arrivals {
     random: ChaCha8Rng,
@@ -40,13 +42,13 @@
 }
 
 impl Arrivals {
-    /// Arrivals at `copies` copies over `duration`.
+    /// Arrivals at `balancer_count` balancers over `load_duration`.
     pub fn new(load: &Load, balancer_count: usize, load_duration: Duration, seed: u64) -> Self {
         let random = ChaCha8Rng::seed_from_u64(seed);
         Self { random, balancer_count, load: load.clone(), load_duration, latest_arrival_s: 0.0 }
     }
 
-    /// A number from 0 up to 1.
+    /// Draws a number that is at least 0 and below 1.
     fn draw_fraction(&mut self) -> f64 {
         self.random.random()
     }
--- a/scale/src/hollow/balancer.rs
+++ b/scale/src/hollow/balancer.rs
@@ -1,4 +1,5 @@
-//! One hollow copy: the decisions, the list and the watch of a balancer, without sockets for clients.
+//! A hollow balancer: the decisions, endpoint list and discovery watch of a balancer, without sockets for
+//! clients.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -18,49 +19,49 @@
 use crate::process::settings::{CLASS_ORDER, CLASS_READ, tenant_name};
 use crate::topology::RegionId;
 
-/// An attempt whose connection does not come up.
+/// An attempt whose connection is still being established because the node cannot be reached.
 #[derive(Debug, Clone, Copy)]
 struct Connecting {
     upstream: UpstreamId,
     attempt: AttemptId,
 }
 
-/// A hollow copy.
+/// A hollow balancer.
 pub(super) struct HollowBalancer {
-    /// Its decisions.
+    /// The decision module.
     pub decisions: Balancer,
-    /// The list in hand.
+    /// The upstreams of the latest list.
     pub directory: Directory,
-    /// Its watch on control.
+    /// The discovery watch on the control plane.
     pub subscription: Subscription,
-    /// The list from its configuration, until it is taken in.
+    /// The list from the configuration, until it has been applied.
     pub initial_list: Option<Update>,
-    /// The list in hand names an upstream to send to.
+    /// Whether the current list contains an upstream that takes requests.
     pub ready: bool,
-    /// The version of the list that it was last told.
+    /// Version of the latest list that was received.
     pub list_version: u64,
-    /// Its watch stands and has told it something.
+    /// Whether the watch is open and has delivered a list or change.
     pub watching: bool,
-    /// Counts its processes.
+    /// Number of restarts of the balancer's process, which invalidate timers set before.
     pub generation: u64,
-    /// Its region.
+    /// Region of the balancer.
     pub region: RegionId,
-    /// Its idle connections.
-    pub idle: IdleConnections,
+    /// Idle connections to nodes.
+    pub idle_connections: IdleConnections,
     /// The configuration in force.
     pub in_force: InForce,
-    /// Counts the descriptors of its watches.
-    pub sockets: Rc<Cell<usize>>,
-    /// Positions of the nodes listed.
+    /// Number of descriptors that the watches use.
+    pub watch_descriptors: Rc<Cell<usize>>,
+    /// Node indices of the listed upstreams.
     nodes: FxHashMap<UpstreamId, usize>,
     connecting: Vec<Connecting>,
 }
 
 impl HollowBalancer {
-    /// A copy that was just started and has heard nothing yet.
+    /// A balancer that has just started and has not received a list yet.
     ///
     /// # Errors
-    /// The settings make no sense.
+    /// The settings are invalid.
     pub fn start(
         mut config: Config,
         clock: Clock,
@@ -69,7 +70,7 @@
     ) -> Result<Self, SettingsError> {
         let (seed, initial_list) = (config.seed, config.known.take());
         let in_force = InForce::start(config);
-        // A process that starts anew draws anew.
+        // A restarted process draws different random numbers.
         let decisions = Balancer::new(in_force.settings(), seed.wrapping_add(generation))?;
         Ok(Self {
             decisions,
@@ -81,25 +82,25 @@
             watching: false,
             generation,
             region,
-            idle: IdleConnections::default(),
+            idle_connections: IdleConnections::default(),
             in_force,
-            sockets: Rc::default(),
+            watch_descriptors: Rc::default(),
             nodes: FxHashMap::default(),
             connecting: Vec::new(),
         })
     }
 
-    /// Takes in an update of the list; `positions` has the fleet's nodes by name.
+    /// Applies an update of the list; `node_indices` maps the names of the fleet's nodes to their indices.
     pub fn apply_list(
         &mut self,
         update: &Update,
         origin: Origin,
-        positions: &FxHashMap<String, usize>,
+        node_indices: &FxHashMap<String, usize>,
     ) -> Change {
         let change = self.directory.apply(update, origin, self.in_force.names());
         for endpoint in &update.endpoints {
             if let Some(upstream) = self.directory.id_of(&endpoint.name)
-                && let Some(&node) = positions.get(&endpoint.name)
+                && let Some(&node) = node_indices.get(&endpoint.name)
             {
                 self.nodes.insert(upstream, node);
             }
@@ -109,12 +110,12 @@
         change
     }
 
-    /// Position of the node behind an upstream.
+    /// Index of an upstream's node; `None` if it is not a node of this fleet.
     pub fn node(&self, upstream: UpstreamId) -> Option<usize> {
         self.nodes.get(&upstream).copied()
     }
 
-    /// A class of calls in terms of the settings.
+    /// The class as the settings number it; `None` if they do not contain it.
     pub fn class(&self, class: CallClass) -> Option<ClassId> {
         let name = match class {
             CallClass::Read => CLASS_READ,
@@ -123,27 +124,27 @@
         self.in_force.names().classes.get(name).copied().map(ClassId)
     }
 
-    /// A tenant in terms of the settings.
+    /// The tenant as the settings number it; `None` if they do not contain it.
     pub fn tenant(&self, number: u32) -> Option<TenantId> {
         self.in_force.names().tenants.get(&tenant_name(number)).copied().map(TenantId)
     }
 
-    /// The fields of load reports.
+    /// Names of the load report fields that the settings use.
     pub fn load_fields(&self) -> &[String] {
         &self.in_force.names().load_fields
     }
 
-    /// An attempt's connection does not come up for now.
+    /// Notes that an attempt waits for a connection that cannot be established at the moment.
     pub fn add_connecting(&mut self, upstream: UpstreamId, attempt: AttemptId) {
         self.connecting.push(Connecting { upstream, attempt });
     }
 
-    /// An attempt is no longer connecting.
+    /// Removes an attempt that no longer waits for a connection, if it did.
     pub fn remove_connecting(&mut self, request: RequestId, number: AttemptNumber) {
         self.connecting.retain(|connecting| connecting.attempt != AttemptId { request, number });
     }
 
-    /// The attempts whose connection to an upstream does not come up.
+    /// The attempts that wait for a connection to an upstream.
     pub fn connecting_to(&self, upstream: UpstreamId) -> Vec<AttemptId> {
         let to = self.connecting.iter().filter(|connecting| connecting.upstream == upstream);
         to.map(|connecting| connecting.attempt).collect()
--- a/scale/src/hollow/calls.rs
+++ b/scale/src/hollow/calls.rs
@@ -1,4 +1,4 @@
-//! Calls, requests, attempts and runs that are under way in the hollow part.
+//! The state of calls, requests, attempts and executions in progress.
 
 use std::time::Duration;
 
@@ -7,154 +7,154 @@
 use super::connections::Connection;
 use crate::node::model::WorkOutcome;
 
-/// A class of calls.
+/// The class of a call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum CallClass {
-    /// Safe to repeat.
+    /// Safe to execute repeatedly.
     Read,
-    /// Must never run twice.
+    /// Must never be executed twice.
     Order,
 }
 
-/// Names a client's call.
+/// Identifies a client's call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub(super) struct CallId(pub u64);
 
-/// Names a request's run on a node.
+/// Identifies the execution of a request on a node.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub(super) struct ExecutionId(pub u64);
 
-/// Names an attempt.
+/// Identifies an attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) struct AttemptId {
-    /// Its request.
+    /// The request that it belongs to.
     pub request: RequestId,
-    /// Its number there.
+    /// Its number within the request.
     pub number: AttemptNumber,
 }
 
-/// Who waits for a request's answer.
+/// Who receives the answer to a request.
 #[derive(Debug, Clone, Copy)]
 pub(super) enum Caller {
-    /// A client's call.
+    /// A client, for this call.
     Client(CallId),
-    /// A node, to go on with a run.
+    /// A node, which needs the answer to finish this execution.
     Node(ExecutionId),
 }
 
-/// A balancer's final answer.
+/// A balancer's final answer to a request.
 #[derive(Debug, Clone, Copy)]
 pub(super) enum Answer {
-    /// A node has served it.
+    /// A node has served the request.
     Served,
-    /// Trying again is harmless.
+    /// Not served; the caller may safely retry.
     Refused {
-        /// Advice to stay away so long.
+        /// How long the caller is asked to wait before a retry.
         retry_after: Option<Duration>,
     },
-    /// Nothing is said of its effect.
+    /// Not served; it may or may not have been executed.
     Failed,
 }
 
-/// What a request asks for; the same at each hop but for the hops.
+/// The parameters of a request; only the hop numbers differ between the hops of a call.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct RequestSpec {
-    /// Its class.
+    /// Class of the call.
     pub class: CallClass,
     /// Number of its tenant.
     pub tenant: u32,
-    /// Hops from here to the last node, this one included.
+    /// Remaining hops up to the last node, including this one.
     pub hops: u32,
-    /// Number of this hop, from 1.
+    /// Number of this hop, counted from 1.
     pub hop: u32,
 }
 
 impl RequestSpec {
-    /// What the node at this hop asks of the next service; `None` at the last hop.
+    /// The request that the node at this hop sends to the next service; `None` at the last hop.
     pub fn next_hop(self) -> Option<Self> {
         (self.hops > 1).then(|| Self { hops: self.hops - 1, hop: self.hop + 1, ..self })
     }
 }
 
-/// A client's call, its repeats included.
+/// A client's call in progress, including its retries.
 #[derive(Debug)]
 pub(super) struct OpenCall {
-    /// When it was drawn to arrive.
+    /// Scheduled arrival of the call.
     pub arrived_at: Duration,
-    /// When its client's time is up.
+    /// When the client stops waiting.
     pub deadline: Duration,
-    /// Position of the copy that it goes to.
+    /// Index of the balancer that the call is sent to.
     pub balancer: usize,
-    /// What it asks for.
+    /// Parameters of the request.
     pub spec: RequestSpec,
-    /// Times that it may still be repeated after a refusal.
+    /// How often the client may still retry after a refusal.
     pub retries_left: u32,
-    /// The request that is out for it.
+    /// The request in flight for this call.
     pub request: Option<RequestId>,
 }
 
-/// A request at a hollow copy.
+/// A request at a hollow balancer.
 #[derive(Debug)]
 pub(super) struct OpenRequest {
-    /// Position of the copy.
+    /// Index of the balancer.
     pub balancer: usize,
-    /// Who waits for it.
+    /// Who receives the answer.
     pub caller: Caller,
-    /// What it asks for.
+    /// Parameters of the request.
     pub spec: RequestSpec,
-    /// When its answer must be out.
+    /// When the decisions must have answered.
     pub deadline: Duration,
-    /// It has its final answer, or nobody waits for one any more.
+    /// Whether it has its final answer or its caller no longer waits for one.
     pub answered: bool,
-    /// By number, while they are out.
+    /// Attempts in flight, indexed by number; `None` for those that have ended.
     pub attempts: Vec<Option<Attempt>>,
-    /// Attempts that are out.
+    /// Number of attempts in flight.
     pub in_flight: u32,
-    /// Times that it was accepted by a node.
+    /// How often a node has accepted it.
     pub times_accepted: u32,
 }
 
 impl OpenRequest {
-    /// The attempt of that number, while it is out.
+    /// The attempt with this number, if it is in flight.
     pub fn attempt(&mut self, number: AttemptNumber) -> Option<&mut Attempt> {
         self.attempts.get_mut(number.0 as usize)?.as_mut()
     }
 }
 
-/// An attempt that is out.
+/// An attempt in flight.
 #[derive(Debug)]
 pub(super) struct Attempt {
-    /// Where it goes, in the copy's terms.
+    /// The upstream that it is sent to.
     pub upstream: UpstreamId,
-    /// Position of the node, if it is one of this fleet.
+    /// Index of the node; `None` if the upstream is not a node of this fleet.
     pub node: Option<usize>,
-    /// When the decisions asked for it.
+    /// When the decisions requested the attempt.
     pub requested_at: Duration,
-    /// When it is given up.
+    /// When the attempt times out.
     pub deadline: Duration,
-    /// When it was written whole; `None` while its connection is coming up.
+    /// When it was completely written; `None` while its connection is being established.
     pub sent_at: Option<Duration>,
     /// The connection that it was written to.
     pub connection: Option<Connection>,
-    /// What it does on the node.
+    /// Its execution on the node, once accepted.
     pub execution: Option<ExecutionId>,
 }
 
-/// A request that a node has accepted.
+/// The execution of a request that a node has accepted.
 #[derive(Debug)]
 pub(super) struct Execution {
-    /// Position of the node.
+    /// Index of the node.
     pub node: usize,
-    /// The attempt that brought it.
+    /// The attempt that delivered the request.
     pub attempt: AttemptId,
-    /// Position of the copy that sent it.
+    /// Index of the balancer that sent it.
     pub balancer: usize,
-    /// What it asks for.
+    /// Parameters of the request.
     pub spec: RequestSpec,
-    /// How long its caller waits.
+    /// When the attempt's caller stops waiting.
     pub deadline: Duration,
-    /// How it ends, at the last hop.
+    /// How the work ends; only used at the last hop.
     pub outcome: WorkOutcome,
-    /// The request to the next service that it waits for.
+    /// The request to the next service whose answer it waits for.
     pub downstream: Option<RequestId>,
 }
--- a/scale/src/hollow/connections.rs
+++ b/scale/src/hollow/connections.rs
@@ -1,4 +1,4 @@
-//! Connections that a hollow copy keeps to modelled nodes.
+//! Connections from hollow balancers to modelled nodes.
 
 use std::time::Duration;
 
@@ -8,9 +8,9 @@
 /// A connection to a node.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) struct Connection {
-    /// Position of the node.
+    /// Index of the node.
     pub node: usize,
-    /// The life of the node's process that it was opened to: it ends with that.
+    /// Generation of the node's process at the other end; the connection is closed when that process ends.
     pub generation: u64,
 }
 
@@ -20,37 +20,37 @@
     idle_since: Duration,
 }
 
-/// The idle connections of one copy, the most recently used last.
+/// The idle connections of a balancer; for each upstream, the most recently used is last.
 #[derive(Debug, Default)]
 pub(super) struct IdleConnections {
     by_upstream: FxHashMap<UpstreamId, Vec<IdleConnection>>,
 }
 
 impl IdleConnections {
-    /// Keeps a connection for the next attempt.
+    /// Adds a connection that later attempts can use.
     pub fn add(&mut self, upstream: UpstreamId, connection: Connection, now: Duration) {
         self.by_upstream.entry(upstream).or_default().push(IdleConnection { connection, idle_since: now });
     }
 
-    /// The connection to an upstream that was used last, if one is kept.
+    /// Removes and returns the most recently used connection to an upstream, if there is one.
     pub fn take(&mut self, upstream: UpstreamId) -> Option<Connection> {
         Some(self.by_upstream.get_mut(&upstream)?.pop()?.connection)
     }
 
-    /// Takes out all connections to an upstream.
+    /// Removes and returns all connections to an upstream.
     pub fn drain(&mut self, upstream: UpstreamId) -> Vec<Connection> {
         let connections = self.by_upstream.remove(&upstream).unwrap_or_default();
         connections.into_iter().map(|idle| idle.connection).collect()
     }
 
-    /// Takes out all connections to upstreams that `stays` does not name.
+    /// Removes and returns all connections to upstreams for which `keep` is false.
     pub fn drain_except(&mut self, keep: impl Fn(UpstreamId) -> bool) -> Vec<Connection> {
         let removed: Vec<UpstreamId> =
             self.by_upstream.keys().copied().filter(|&upstream| !keep(upstream)).collect();
         removed.into_iter().flat_map(|upstream| self.drain(upstream)).collect()
     }
 
-    /// Takes out all connections that have been idle since `oldest` or longer.
+    /// Removes and returns all connections that became idle at `idle_since` or earlier.
     pub fn drain_idle_since(&mut self, idle_since: Duration) -> Vec<Connection> {
         let mut expired = Vec::new();
         for connections in self.by_upstream.values_mut() {
--- a/scale/src/hollow/host.rs
+++ b/scale/src/hollow/host.rs
@@ -1,8 +1,8 @@
-//! Carries all hollow copies and the modelled nodes behind them on one thread.
+//! Runs all hollow balancers and the modelled nodes behind them on one thread.
 //!
-//! Times are counted from the host's start. What falls due is handled at the time at which it was due, in order,
-//! however late the thread comes to it; how late that was at most is measured. What control tells is handled at the
-//! time at which it arrives.
+//! Times are counted from the start of the host. Timed events are handled in order and take effect at the
+//! time for which they were scheduled, even if the thread reaches them late; the maximum lateness is
+//! measured. Messages from the control plane take effect when they arrive.
 
 mod attempts;
 mod clients;
@@ -36,61 +36,67 @@
 use crate::record::Record;
 use crate::topology::{CopyId, Node, NodeId};
 
-/// Idle connections are looked through this many times in the time for which they are kept.
+/// How often idle connections are checked within the time for which they are kept.
 const SWEEPS_PER_IDLE_TIMEOUT: u32 = 8;
 
-/// What is left to do for something that has happened.
+/// A pending consequence of an event that has been handled.
 enum Step {
-    /// A copy's decisions hear of it.
+    /// An event to be handled by a balancer's decisions.
     Decide {
-        /// Position of the copy.
+        /// Index of the balancer.
         balancer: usize,
-        /// What they hear.
+        /// The event.
         event: Event,
     },
-    /// Who waits for a request hears its answer.
+    /// An answer to be delivered to the caller of a request.
     Answered {
-        /// Who.
+        /// The caller.
         caller: Caller,
         /// The answer.
         answer: Answer,
     },
 }
 
-/// All hollow copies and modelled nodes.
+/// All hollow balancers and modelled nodes.
 pub(super) struct HollowHost {
     plan: Plan,
     control: Arc<ControlPlane>,
     record: Arc<Record>,
     progress: Arc<Progress>,
     clock: Clock,
+    /// The moment from which times are counted.
     epoch: Instant,
-    /// The time that is being handled.
+    /// The modelled time: that of the event being handled.
     now: Duration,
     schedule: Schedule,
     steps: VecDeque<Step>,
+    /// Empty between events; kept to reuse its memory.
     actions: Vec<Action>,
     balancers: Vec<HollowBalancer>,
     nodes: Vec<ModelledNode>,
-    /// Configurations that copies were given while they ran, without lists.
+    /// Latest configurations of balancers that were reloaded, without the endpoint lists.
     reloaded_configurations: FxHashMap<usize, String>,
-    /// Positions of the nodes by name.
-    positions: FxHashMap<String, usize>,
+    /// Indices of the nodes by name.
+    node_indices: FxHashMap<String, usize>,
     arrivals: Peekable<Arrivals>,
+    /// When the load starts; `None` until that is known.
     load_start: Option<Duration>,
     calls: FxHashMap<CallId, OpenCall>,
     requests: FxHashMap<RequestId, OpenRequest>,
     executions: FxHashMap<ExecutionId, Execution>,
+    /// The last number given to a call, request or execution.
     last_number: u64,
+    /// Whether regions cannot reach each other.
     regions_cut: bool,
     weak_self: Weak<RefCell<Self>>,
 }
 
 impl HollowHost {
-    /// Lays out the nodes and starts all copies. Runs within a `LocalSet`, as the copies begin to watch.
+    /// Creates the nodes and starts all balancers. Must be called within a `LocalSet`, since the balancers
+    /// open their watches.
     ///
     /// # Errors
-    /// The settings of a copy make no sense.
+    /// The settings of a balancer are invalid.
     pub fn start(
         plan: Plan,
         control: Arc<ControlPlane>,
@@ -104,7 +110,7 @@
             .map(|(number, node)| ModelledNode::new(&plan.scenario.node, region(node), number, plan.seed))
             .collect();
         let hollow_nodes = topology.nodes.iter().take(plan.hollow_count()).enumerate();
-        let positions = hollow_nodes.map(|(number, node)| (node.name.clone(), number)).collect();
+        let node_indices = hollow_nodes.map(|(number, node)| (node.name.clone(), number)).collect();
         let load_duration = Duration::try_from_secs_f64(plan.scenario.duration_s).unwrap_or_default();
         let arrivals = Arrivals::new(&plan.scenario.load, plan.hollow_count(), load_duration, plan.seed);
         let host = Rc::new_cyclic(|weak_self| {
@@ -121,7 +127,7 @@
                 balancers: Vec::with_capacity(plan.hollow_count()),
                 nodes,
                 reloaded_configurations: FxHashMap::default(),
-                positions,
+                node_indices,
                 arrivals: arrivals.peekable(),
                 load_start: None,
                 calls: FxHashMap::default(),
@@ -148,29 +154,29 @@
         Ok(())
     }
 
-    fn name(&self, balancer: usize) -> String {
+    fn balancer_name(&self, balancer: usize) -> String {
         self.plan.topology.copies[balancer].name.clone()
     }
 
-    /// When the next thing falls due, in time from now on.
+    /// Time until the next event is due; zero if it is already due.
     pub fn time_to_next_event(&self) -> Option<Duration> {
         Some(self.schedule.next_at()?.saturating_sub(self.epoch.elapsed()))
     }
 
-    /// Handles up to `most` things that are due by now; whether there may be more.
+    /// Handles up to `max_events` events that are due; returns whether more may be due.
     pub fn advance(&mut self, max_events: usize) -> bool {
         let wall_time = self.epoch.elapsed();
         (0..max_events).all(|_| self.handle_next(wall_time))
     }
 
-    /// Something comes from outside: all that was due before it is handled first.
+    /// Handles all events that are due, before something from outside is handled.
     fn catch_up(&mut self) {
         let wall_time = self.epoch.elapsed();
         while self.handle_next(wall_time) {}
         self.now = self.now.max(wall_time);
     }
 
-    /// Handles the next thing that is due at `wall`; `false` if there is none.
+    /// Handles the next event that is due at `wall_time`; returns `false` if there is none.
     fn handle_next(&mut self, wall_time: Duration) -> bool {
         let Some(DueEvent { at, event }) = self.schedule.take_due(wall_time) else { return false };
         self.now = self.now.max(at);
@@ -233,42 +239,44 @@
             Action::Send { request, upstream, timeout, start_within } => {
                 self.send_attempt(request, upstream, timeout, start_within);
             }
-            Action::CancelAttempt { request, attempt } => self.withdraw_attempt(request, attempt),
+            Action::CancelAttempt { request, attempt } => self.cancel_attempt(request, attempt),
             Action::Refuse { request, retry_after } => {
                 self.answer_request(request, Answer::Refused { retry_after })
             }
             Action::Fail { request } => self.answer_request(request, Answer::Failed),
             Action::SubscribeToDiscovery => self.subscribe(balancer),
             Action::AbortPendingConnects { upstream } => self.abort_connects(balancer, upstream),
-            // Health checks are not made, as in the balancer.
+            // No health checks are sent, as in the real balancer.
             Action::Probe { upstream } => {
                 let (outcome, duration) = (Outcome::NotSent, Duration::ZERO);
                 self.push_event(balancer, Event::ProbeEnded { upstream, outcome, duration, load: None });
             }
             Action::CloseIdleConnections { upstream } => {
-                let removed = self.balancers[balancer].idle.drain(upstream);
+                let removed = self.balancers[balancer].idle_connections.drain(upstream);
                 self.close_connections(removed);
             }
             Action::SetTimer(delay) => {
                 let generation = self.balancers[balancer].generation;
                 self.schedule.add(self.now + delay, TimedEvent::Wake { balancer, generation });
             }
-            Action::Report(report) => tracing::debug!(copy = self.name(balancer), ?report, "decided"),
+            Action::Report(report) => {
+                tracing::debug!(copy = self.balancer_name(balancer), ?report, "decided")
+            }
         }
     }
 
-    /// Whether nothing passes between a copy and a node.
+    /// Whether a balancer and a node cannot reach each other.
     fn is_unreachable(&self, balancer: usize, node: usize) -> bool {
         let node = &self.nodes[node];
         node.silent || (self.regions_cut && node.region != self.balancers[balancer].region)
     }
 
-    /// Position of the copy through which a node calls the next service.
+    /// Index of the balancer through which a node calls the next service.
     fn balancer_of(&self, node: usize) -> usize {
         self.plan.topology.nodes[node].calls_through.0
     }
 
-    /// Position of the node that holds a copy: the copies follow the nodes one by one.
+    /// Index of the node whose machine a balancer runs on; hollow balancer `i` runs on node `i`.
     fn node_of(&self, balancer: usize) -> usize {
         debug_assert_eq!(self.plan.topology.nodes[balancer].calls_through, CopyId(balancer));
         NodeId(balancer).0
--- a/scale/src/hollow/host/attempts.rs
+++ b/scale/src/hollow/host/attempts.rs
@@ -1,4 +1,4 @@
-//! Attempts of hollow copies on modelled nodes: connections, sending and how they end.
+//! Attempts of hollow balancers on modelled nodes: connecting, sending and their outcomes.
 
 use std::time::Duration;
 
@@ -15,7 +15,7 @@
 use crate::topology::Carrier;
 
 impl HollowHost {
-    /// The decisions send a request to an upstream.
+    /// Starts an attempt that the decisions requested.
     pub(super) fn send_attempt(
         &mut self,
         request: RequestId,
@@ -57,10 +57,10 @@
         self.start_attempt(balancer, id, upstream, deadline.min(self.now + start_within));
     }
 
-    /// Finds a connection for an attempt and writes it there.
+    /// Writes an attempt to an idle connection, or to a new one if there is none.
     fn start_attempt(&mut self, balancer: usize, id: AttemptId, upstream: UpstreamId, start_by: Duration) {
-        while let Some(idle) = self.balancers[balancer].idle.take(upstream) {
-            // One that ended with the node's process is found closed.
+        while let Some(idle) = self.balancers[balancer].idle_connections.take(upstream) {
+            // A connection to an earlier process of the node is found closed.
             if self.nodes[idle.node].generation == idle.generation {
                 return self.write_request(balancer, id, idle);
             }
@@ -84,7 +84,8 @@
         }
     }
 
-    /// A node that holds as many connections as it can answers on one more that it can't run the request.
+    /// A node that has reached its connection limit rejects the attempt on a new connection; the answer says
+    /// that the request was not executed.
     fn connection_rejected(&mut self, balancer: usize, id: AttemptId, node: usize) {
         if let Some(open_request) = self.requests.get(&id.request) {
             self.record.count_attempt(Carrier::Hollow, open_request.spec.hop);
@@ -93,7 +94,7 @@
         self.end_attempt(id, Outcome::Refused, load);
     }
 
-    /// Writes an attempt whole to a connection.
+    /// Writes a complete attempt to a connection.
     fn write_request(&mut self, balancer: usize, id: AttemptId, connection: Connection) {
         let Some(open_request) = self.requests.get_mut(&id.request) else { return };
         let spec = open_request.spec;
@@ -119,7 +120,7 @@
         }
     }
 
-    /// A node has accepted an attempt and is done with its own work at `until`.
+    /// Starts executing an attempt that a node has accepted; the node's own work is done at `work_ends_at`.
     fn start_execution(&mut self, execution: Execution, work_ends_at: Duration) {
         let AttemptId { request, number } = execution.attempt;
         let id = ExecutionId(self.next_number());
@@ -135,7 +136,7 @@
         self.schedule.add(work_ends_at, TimedEvent::WorkDone(id));
     }
 
-    /// An attempt that is out has ended, which its copy hears.
+    /// Ends an attempt in flight and reports the outcome to its balancer's decisions.
     pub(super) fn end_attempt(&mut self, id: AttemptId, outcome: Outcome, load: Option<LoadReport>) {
         let Some(open_request) = self.requests.get_mut(&id.request) else { return };
         let slot = open_request.attempts.get_mut(id.number.0 as usize);
@@ -161,7 +162,8 @@
         );
     }
 
-    /// Keeps or closes the connection of an attempt that has ended; on a closed one the node gives up.
+    /// Keeps the connection of an attempt that has ended for reuse, or closes it. The node stops executing
+    /// the attempt if it still does.
     fn release_connection(&mut self, balancer: usize, id: AttemptId, attempt: &Attempt, outcome: Outcome) {
         if attempt.sent_at.is_none() {
             self.balancers[balancer].remove_connecting(id.request, id.number);
@@ -170,7 +172,7 @@
             let answered = matches!(outcome, Outcome::Good | Outcome::Error | Outcome::Refused);
             let is_ready = self.balancers[balancer].directory.ready_address(attempt.upstream).is_some();
             if answered && is_ready {
-                self.balancers[balancer].idle.add(attempt.upstream, connection, self.now);
+                self.balancers[balancer].idle_connections.add(attempt.upstream, connection, self.now);
             } else {
                 self.close_connections([connection]);
             }
@@ -180,7 +182,7 @@
         }
     }
 
-    /// Connections were closed by the copies that held them.
+    /// Closes connections from the balancers' side.
     pub(super) fn close_connections(&mut self, connections: impl IntoIterator<Item = Connection>) {
         for connection in connections {
             self.nodes[connection.node].connection_closed(connection);
@@ -192,12 +194,12 @@
         Some(attempt.sent_at.is_some())
     }
 
-    /// The decisions give up an attempt.
-    pub(super) fn withdraw_attempt(&mut self, request: RequestId, number: AttemptNumber) {
+    /// Cancels an attempt at the decisions' request.
+    pub(super) fn cancel_attempt(&mut self, request: RequestId, number: AttemptNumber) {
         self.end_attempt(AttemptId { request, number }, Outcome::Withdrawn, None);
     }
 
-    /// An attempt has had its time.
+    /// Ends an attempt that has reached its deadline.
     pub(super) fn attempt_timed_out(&mut self, id: AttemptId) {
         match self.is_sent(id) {
             Some(true) => self.end_attempt(id, Outcome::TimedOut, None),
@@ -206,22 +208,22 @@
         }
     }
 
-    /// A connection has not come up in time.
+    /// Ends an attempt whose connection was not established in time.
     pub(super) fn connect_timed_out(&mut self, id: AttemptId) {
         if self.is_sent(id) == Some(false) {
             self.end_attempt(id, Outcome::ConnectFailed, None);
         }
     }
 
-    /// The decisions give up connecting to an upstream.
+    /// Ends the attempts that wait for a connection to an upstream, at the decisions' request.
     pub(super) fn abort_connects(&mut self, balancer: usize, upstream: UpstreamId) {
         for id in self.balancers[balancer].connecting_to(upstream) {
             self.end_attempt(id, Outcome::ConnectFailed, None);
         }
     }
 
-    /// Takes back the attempts of a request that still wait for their connection.
-    pub(super) fn withdraw_unsent_attempts(&mut self, request: RequestId) {
+    /// Cancels the attempts of a request that still wait for a connection.
+    pub(super) fn cancel_unsent_attempts(&mut self, request: RequestId) {
         let Some(open_request) = self.requests.get(&request) else { return };
         let is_unsent = |attempt: &Option<Attempt>| attempt.as_ref().is_some_and(|it| it.sent_at.is_none());
         let numbers: Vec<AttemptNumber> = (0..)
@@ -234,11 +236,11 @@
         }
     }
 
-    /// Closes the connections of a copy that have been idle for too long.
+    /// Closes a balancer's connections that have been idle for too long and schedules the next check.
     pub(super) fn sweep_idle_connections(&mut self, balancer: usize) {
         let idle_timeout = self.balancers[balancer].in_force.keep();
         if let Some(idle_since) = self.now.checked_sub(idle_timeout) {
-            let expired = self.balancers[balancer].idle.drain_idle_since(idle_since);
+            let expired = self.balancers[balancer].idle_connections.drain_idle_since(idle_since);
             self.close_connections(expired);
         }
         self.schedule.add(
--- a/scale/src/hollow/host/clients.rs
+++ b/scale/src/hollow/host/clients.rs
@@ -1,4 +1,4 @@
-//! Clients of the hollow part: arrivals, repeats, leavings and how calls end.
+//! Modelled clients: arrivals, retries, early disconnects and the ends of calls.
 
 use std::time::{Duration, Instant};
 
@@ -9,15 +9,15 @@
 use crate::record::{Call, CallEnd};
 use crate::topology::Carrier;
 
-/// Pause of a client that was refused and got no advice.
+/// Delay before a retry if the refusal gave none.
 const DEFAULT_RETRY_DELAY: Duration = Duration::from_millis(50);
-/// Spreads the numbers of calls, which follow one another; odd.
+/// Spreads consecutive call numbers over the balancers; odd.
 const HASH_MULTIPLIER: u64 = 0x9e37_79b9_7f4a_7c15;
-/// A call without any answer so long after its time was up is lost.
+/// A call that has no answer this long after its deadline counts as lost.
 const LOST_AFTER: Duration = Duration::from_millis(500);
 
 impl HollowHost {
-    /// The load starts then.
+    /// Starts the load at `start`.
     pub fn begin_load(&mut self, start: Instant) {
         self.catch_up();
         let load_start = start.saturating_duration_since(self.epoch);
@@ -33,7 +33,7 @@
         }
     }
 
-    /// A call arrives as drawn.
+    /// Handles the next scheduled arrival and schedules the one after it.
     pub(super) fn next_arrival(&mut self) {
         if let Some(arrival) = self.arrivals.next() {
             self.open_call(&arrival);
@@ -64,8 +64,8 @@
         self.send_call(id);
     }
 
-    /// Sends a call to its copy, or if that one's machine is not there, to one of those that are: clients come
-    /// through a front, which spreads them.
+    /// Sends a call to its balancer or, if that balancer's machine is not available, to one that is: clients
+    /// connect through a front end that spreads them over the available balancers.
     pub(super) fn send_call(&mut self, id: CallId) {
         let Some(call) = self.calls.get(&id) else { return };
         let (spec, timeout) = (call.spec, call.deadline.saturating_sub(self.now));
@@ -82,7 +82,7 @@
         }
     }
 
-    /// One of the copies whose machine is there, spread evenly by the call's number.
+    /// One of the available balancers, chosen by a hash of the call's number.
     fn available_balancer(&self, id: CallId) -> Option<usize> {
         let available: Vec<usize> =
             (0..self.balancers.len()).filter(|&balancer| self.is_available(balancer)).collect();
@@ -95,7 +95,7 @@
         !node.silent && !node.down
     }
 
-    /// The balancer has answered a call.
+    /// Handles a balancer's answer to a call: ends the call or schedules a retry.
     pub(super) fn call_answered(&mut self, id: CallId, answer: Answer) {
         let now = self.now;
         let Some(call) = self.calls.get_mut(&id) else { return };
@@ -116,7 +116,7 @@
         self.end_call(id, end);
     }
 
-    /// A client closes its connection before the answer.
+    /// Handles a client that closes its connection before the answer.
     pub(super) fn client_left(&mut self, id: CallId) {
         if let Some(request) = self.calls.get(&id).and_then(|call| call.request) {
             self.abandon_request(request);
@@ -124,7 +124,7 @@
         self.end_call(id, CallEnd::ClientLeft);
     }
 
-    /// A client gets no answer, as the machine of its balancer is gone.
+    /// Makes a call fail at its deadline, because its balancer's machine is gone and nothing will answer.
     pub(super) fn fail_at_deadline(&mut self, id: CallId) {
         if let Some(call) = self.calls.get_mut(&id) {
             call.request = None;
@@ -132,17 +132,17 @@
         }
     }
 
-    /// The time of a client that gets no answer is up.
+    /// Ends a call that could not be answered before its deadline.
     pub(super) fn client_deadline_passed(&mut self, id: CallId) {
         self.end_call(id, CallEnd::Failed);
     }
 
-    /// A call is still without an answer.
+    /// Ends a call that still has no answer as lost.
     pub(super) fn call_lost(&mut self, id: CallId) {
         self.end_call(id, CallEnd::Lost);
     }
 
-    /// A call has ended; only its first end counts.
+    /// Records the end of a call; has no effect if the call has already ended.
     pub(super) fn end_call(&mut self, id: CallId, end: CallEnd) {
         let Some(call) = self.calls.remove(&id) else { return };
         self.progress.call_ended();
--- a/scale/src/hollow/host/executions.rs
+++ b/scale/src/hollow/host/executions.rs
@@ -1,4 +1,5 @@
-//! Requests on modelled nodes: their work, their calls to the next service and their answers.
+//! Execution of requests on modelled nodes: the node's own work, its call to the next service, and its
+//! answer.
 
 use stilelead_decision::interface::{LoadReport, Outcome};
 
@@ -7,7 +8,8 @@
 use crate::node::model::WorkOutcome;
 
 impl HollowHost {
-    /// A node is done with its own work for a request: it calls on, or answers.
+    /// Handles the end of a node's own work for a request: the node calls the next service or, at the last
+    /// hop, answers.
     pub(super) fn work_done(&mut self, id: ExecutionId) {
         let Some(execution) = self.executions.get(&id) else { return };
         if self.nodes[execution.node].silent {
@@ -43,7 +45,7 @@
         }
     }
 
-    /// The next service has answered a node.
+    /// Handles the next service's answer to a node.
     pub(super) fn downstream_answered(&mut self, id: ExecutionId, answer: Answer) {
         let Some(execution) = self.executions.get_mut(&id) else { return };
         execution.downstream = None;
@@ -51,7 +53,8 @@
         self.finish_execution(id, if served { Outcome::Good } else { Outcome::Error });
     }
 
-    /// A node answers; what cannot get through is waited for in vain.
+    /// Ends an execution with the node's answer. If the balancer cannot be reached, the answer is dropped and
+    /// the attempt times out.
     fn finish_execution(&mut self, id: ExecutionId, outcome: Outcome) {
         let Some(execution) = self.executions.remove(&id) else { return };
         if self.is_unreachable(execution.balancer, execution.node) {
@@ -65,14 +68,14 @@
         self.end_attempt(execution.attempt, outcome, load);
     }
 
-    /// A node's caller is gone: it gives up its own call.
+    /// Ends an execution whose caller no longer waits, and abandons its request to the next service.
     pub(super) fn cancel_execution(&mut self, id: ExecutionId) {
         if let Some(request) = self.executions.remove(&id).and_then(|execution| execution.downstream) {
             self.abandon_request(request);
         }
     }
 
-    /// What an answer of a node tells a copy of its load.
+    /// The load report that a node adds to an answer to a balancer.
     pub(super) fn load_report(&self, balancer: usize, node: usize) -> Option<LoadReport> {
         self.nodes[node].load_report(self.now, self.balancers[balancer].load_fields())
     }
--- a/scale/src/hollow/host/faults.rs
+++ b/scale/src/hollow/host/faults.rs
@@ -1,4 +1,4 @@
-//! What happens to nodes, copies and regions.
+//! Faults of nodes, balancers and regions.
 
 use stilelead_decision::interface::{AttemptNumber, Outcome, RequestId};
 
@@ -7,8 +7,9 @@
 use crate::record::CallEnd;
 
 impl HollowHost {
-    /// The machine of a node says nothing from now on, or is back. Calls at the copy on it stay without an answer,
-    /// which is not the balancer's doing: they fail when their time is up. Its copy takes no calls meanwhile.
+    /// Makes a node's machine silent or reachable again. Calls in progress at the balancer on that machine
+    /// get no answer; they fail at their deadline, since that is not the balancer's fault. The balancer gets
+    /// no calls while the machine is silent.
     pub fn set_silent(&mut self, node: usize, silent: bool) {
         self.catch_up();
         if std::mem::replace(&mut self.nodes[node].silent, silent) || !silent {
@@ -26,7 +27,7 @@
         self.process_steps();
     }
 
-    /// The processes of a node and of its copy end and start anew, the node cold.
+    /// Restarts the processes of a node, which is then cold, and of its balancer.
     pub fn restart(&mut self, node: usize) {
         self.catch_up();
         self.nodes[node].restart(self.now);
@@ -36,13 +37,13 @@
         self.process_steps();
     }
 
-    /// The regions lose each other, or find each other again.
+    /// Cuts the regions off from each other, or reconnects them.
     pub fn set_regions_cut(&mut self, cut: bool) {
         self.catch_up();
         self.regions_cut = cut;
     }
 
-    /// A node was pushed over while cold: its process ends.
+    /// Ends the process of a cold node that got too many requests.
     pub(super) fn node_collapsed(&mut self, node: usize) {
         if !self.nodes[node].down {
             self.nodes[node].stop();
@@ -51,19 +52,19 @@
         self.end_attempts_on(node);
     }
 
-    /// Ends all attempts on a node whose process is gone.
+    /// Ends all attempts on a node whose process has ended.
     fn end_attempts_on(&mut self, node: usize) {
-        let mut broken = Vec::new();
+        let mut affected = Vec::new();
         for (&request, open_request) in &self.requests {
             for (number, attempt) in (0..).zip(&open_request.attempts) {
                 if attempt.as_ref().is_some_and(|attempt| attempt.node == Some(node)) {
                     let number = AttemptNumber(number);
-                    broken.push(AttemptId { request, number });
+                    affected.push(AttemptId { request, number });
                 }
             }
         }
-        broken.sort_by_key(|id| (id.request, id.number));
-        for id in broken {
+        affected.sort_by_key(|id| (id.request, id.number));
+        for id in affected {
             let sent_at = self
                 .requests
                 .get_mut(&id.request)
@@ -73,7 +74,7 @@
         }
     }
 
-    /// The process of a copy ends, and with it what it holds; a new one starts.
+    /// Ends a balancer's process with all its requests and connections, and starts a new one.
     fn restart_balancer(&mut self, balancer: usize) {
         for id in self.requests_at(balancer) {
             let Some(open_request) = self.requests.remove(&id) else { continue };
@@ -89,16 +90,16 @@
                 }
             }
         }
-        let idle = self.balancers[balancer].idle.drain_except(|_| false);
+        let idle = self.balancers[balancer].idle_connections.drain_except(|_| false);
         self.close_connections(idle);
         let generation = self.balancers[balancer].generation + 1;
         match self.new_balancer(balancer, generation) {
             Ok(new_balancer) => self.replace_balancer(balancer, new_balancer),
-            Err(error) => tracing::error!(%error, "a hollow copy does not start again"),
+            Err(error) => tracing::error!(%error, "cannot restart a hollow balancer"),
         }
     }
 
-    /// The requests that a copy holds, in the order taken.
+    /// The requests at a balancer, in order of arrival.
     fn requests_at(&self, balancer: usize) -> Vec<RequestId> {
         let at_balancer = self.requests.iter().filter(|(_, open_request)| open_request.balancer == balancer);
         let mut ids: Vec<RequestId> = at_balancer.map(|(&id, _)| id).collect();
--- a/scale/src/hollow/host/lists.rs
+++ b/scale/src/hollow/host/lists.rs
@@ -1,4 +1,4 @@
-//! What copies hear from control, and how late.
+//! Endpoint lists that balancers receive from the control plane, and the delay with which they do.
 
 use std::cell::{Cell, RefCell};
 use std::rc::{Rc, Weak};
@@ -14,11 +14,11 @@
 use super::HollowHost;
 use crate::hollow::balancer::HollowBalancer;
 
-/// The watch of one copy reports here.
+/// Receives the events of one balancer's watch.
 struct BalancerWatch {
     host: Weak<RefCell<HollowHost>>,
     balancer: usize,
-    sockets: Rc<Cell<usize>>,
+    watch_descriptors: Rc<Cell<usize>>,
 }
 
 impl WatchEvents for BalancerWatch {
@@ -35,26 +35,27 @@
     }
 
     fn reserve_descriptor(&self) -> Permit {
-        Permit::acquire(&self.sockets)
+        Permit::acquire(&self.watch_descriptors)
     }
 }
 
 impl HollowHost {
-    /// A new copy takes in the list from its configuration and starts to decide.
+    /// Applies the list from a new balancer's configuration and starts its decisions.
     pub(super) fn start_decisions(&mut self, balancer: usize) {
         if let Some(initial_list) = self.balancers[balancer].initial_list.take() {
             let change = self.apply_list(balancer, &initial_list, Origin::Configuration);
             self.decide(balancer, Event::Discovery(change));
             let state = &mut self.balancers[balancer];
             state.list_version = initial_list.index;
-            // As in the balancer: a list that names nobody to serve is asked for whole.
+            // As in the real balancer: if no upstream in the list takes requests, the watch asks for the
+            // whole list.
             state.subscription.resume_from(if state.directory.can_serve() { initial_list.index } else { 0 });
         }
         self.decide(balancer, Event::Started);
         self.process_steps();
     }
 
-    /// A new process takes the place of a copy.
+    /// Replaces a balancer by a newly started one.
     pub(super) fn replace_balancer(&mut self, balancer: usize, new: HollowBalancer) {
         let old = std::mem::replace(&mut self.balancers[balancer], new);
         self.progress.ready_changed(old.ready, false);
@@ -62,10 +63,14 @@
         self.start_decisions(balancer);
     }
 
-    /// Opens a watch in place of the one that stands.
+    /// Opens a watch in place of the current one.
     pub(super) fn subscribe(&mut self, balancer: usize) {
         let host = Weak::clone(&self.weak_self);
-        let events = BalancerWatch { host, balancer, sockets: Rc::clone(&self.balancers[balancer].sockets) };
+        let events = BalancerWatch {
+            host,
+            balancer,
+            watch_descriptors: Rc::clone(&self.balancers[balancer].watch_descriptors),
+        };
         self.balancers[balancer]
             .subscription
             .renew(|request| spawn_local(discovery::watch(events, request)).abort_handle());
@@ -83,13 +88,14 @@
         self.process_steps();
     }
 
-    /// Takes a list in hand and closes the idle connections that must go.
+    /// Applies an update of the list and closes idle connections to upstreams that were restarted or no
+    /// longer take requests.
     fn apply_list(&mut self, balancer: usize, update: &Update, origin: Origin) -> DiscoveryUpdate {
         let state = &mut self.balancers[balancer];
-        let Change { list, restarted } = state.apply_list(update, origin, &self.positions);
+        let Change { list, restarted } = state.apply_list(update, origin, &self.node_indices);
         let directory = &state.directory;
         let keep = |upstream| directory.ready_address(upstream).is_some() && !restarted.contains(&upstream);
-        let removed = state.idle.drain_except(keep);
+        let removed = state.idle_connections.drain_except(keep);
         let ready = state.directory.can_serve();
         let was_ready = std::mem::replace(&mut state.ready, ready);
         self.progress.ready_changed(was_ready, ready);
@@ -97,9 +103,9 @@
         list
     }
 
-    /// Notes how late the versions up to `version` were told and came into force. Only versions count that were
-    /// made after the load had begun and that the copy had not been told of, by a patch or within a whole list;
-    /// copies on silent machines do not count.
+    /// Records the delays until the list versions up to `version` were received and in force. Only versions
+    /// count that were published after the start of the load and that the balancer had not received yet, in a
+    /// patch or a whole list. Balancers on silent machines do not count.
     fn record_list_delays(
         &mut self,
         balancer: usize,
@@ -136,7 +142,7 @@
             return;
         }
         self.set_watching(balancer, false);
-        tracing::debug!(copy = self.name(balancer), %reason, "the watch on control broke");
+        tracing::debug!(copy = self.balancer_name(balancer), %reason, "the discovery watch broke");
         self.decide(balancer, Event::Discovery(DiscoveryUpdate::Failed));
         self.process_steps();
     }
--- a/scale/src/hollow/host/requests.rs
+++ b/scale/src/hollow/host/requests.rs
@@ -1,4 +1,4 @@
-//! Requests at hollow copies: taken, answered, given up.
+//! Requests at hollow balancers: accepted, answered and abandoned.
 
 use std::time::Duration;
 
@@ -12,7 +12,8 @@
 use crate::topology::Carrier;
 
 impl HollowHost {
-    /// A copy takes a request from a caller that waits for `time`; `None` if its settings do not know the class.
+    /// Accepts a request from a caller that waits for `timeout`; `None` if the balancer's settings do not
+    /// contain the class.
     pub(super) fn accept_request(
         &mut self,
         balancer: usize,
@@ -51,7 +52,7 @@
         Some(id)
     }
 
-    /// The decisions have answered a request.
+    /// Answers a request, as the decisions have requested.
     pub(super) fn answer_request(&mut self, id: RequestId, answer: Answer) {
         let Some(open_request) = self.requests.get_mut(&id) else { return };
         if open_request.answered {
@@ -62,7 +63,7 @@
         self.remove_if_finished(id);
     }
 
-    /// The decisions have not answered in time: the balancer does.
+    /// Answers a request in the balancer's name, since the decisions did not answer in time.
     pub(super) fn request_overdue(&mut self, id: RequestId) {
         let Some(open_request) = self.requests.get(&id).filter(|open_request| !open_request.answered) else {
             return;
@@ -71,7 +72,8 @@
         self.abandon_request(id);
     }
 
-    /// Nobody waits for a request any more: what has not gone out whole is taken back.
+    /// Tells the decisions that a request's caller no longer waits, and cancels the attempts that have not
+    /// been completely sent.
     pub(super) fn abandon_request(&mut self, id: RequestId) {
         let Some(open_request) = self.requests.get_mut(&id) else { return };
         if std::mem::replace(&mut open_request.answered, true) {
@@ -79,11 +81,11 @@
         }
         let balancer = open_request.balancer;
         self.push_event(balancer, Event::RequestAbandoned(id));
-        self.withdraw_unsent_attempts(id);
+        self.cancel_unsent_attempts(id);
         self.remove_if_finished(id);
     }
 
-    /// Forgets a request that is answered and has no attempt out.
+    /// Removes a request that has been answered and has no attempts in flight.
     pub(super) fn remove_if_finished(&mut self, id: RequestId) {
         if self
             .requests
--- a/scale/src/hollow/host/settings.rs
+++ b/scale/src/hollow/host/settings.rs
@@ -1,4 +1,4 @@
-//! Configurations of copies: those that they start with, and those that they are given while they run.
+//! Configurations of balancers: at their start, and reloaded while they run.
 
 use std::time::Instant;
 
@@ -13,9 +13,9 @@
 use crate::topology::CopyId;
 
 impl HollowHost {
-    /// A copy as it starts, with the list as it is now and the settings that it was given last.
+    /// Creates a balancer with the current list and its latest settings.
     pub(super) fn new_balancer(&self, number: usize, generation: u64) -> Result<HollowBalancer, HollowError> {
-        let error = |cause| HollowError::Configuration { balancer: self.name(number), cause };
+        let error = |cause| HollowError::Configuration { balancer: self.balancer_name(number), cause };
         let topology = &self.plan.topology;
         let balancer = &topology.copies[number];
         let config = match self.reloaded_configurations.get(&number) {
@@ -28,7 +28,8 @@
         HollowBalancer::start(config, self.clock, region, generation).map_err(|cause| error(cause.into()))
     }
 
-    /// A copy is given a new configuration, as by SIGHUP. One that cannot be used leaves the old one in force.
+    /// Reloads a balancer's configuration, as after SIGHUP. If the new one is rejected, the old one stays in
+    /// force.
     pub fn reload(&mut self, balancer: usize, text: &str, requested_at: Instant) {
         self.catch_up();
         match self.apply_settings(balancer, text) {
@@ -40,18 +41,23 @@
                 }
             }
             Err(error) => {
-                tracing::debug!(copy = self.name(balancer), %error, "the old settings stay in force");
+                tracing::debug!(
+                    copy = self.balancer_name(balancer),
+                    %error,
+                    "the new configuration was rejected; the old settings stay in force"
+                );
                 self.record.measured().settings_missed += 1;
             }
         }
         self.process_steps();
     }
 
-    /// Puts a configuration in force as the balancer does; returns when the decisions had taken it in.
+    /// Puts a configuration in force as the real balancer does; returns when the decisions had the new
+    /// settings.
     fn apply_settings(&mut self, balancer: usize, text: &str) -> Result<Instant, ReloadError> {
         let config = Config::parse(text, |_| None)?;
         let state = &mut self.balancers[balancer];
-        let (new, changes) = state.in_force.replaced_by(config, state.sockets.get())?;
+        let (new, changes) = state.in_force.replaced_by(config, state.watch_descriptors.get())?;
         let old = std::mem::replace(&mut state.in_force, new);
         let (settings, discovery) = (state.in_force.settings(), state.in_force.discovery());
         if settings != old.settings() {
--- a/scale/src/hollow/mod.rs
+++ b/scale/src/hollow/mod.rs
@@ -1,8 +1,9 @@
-//! Hollow copies: the real decisions, lists and watches of hundreds of balancers in one process, with calls that are
-//! drawn, against modelled nodes.
+//! Hollow balancers: the real decisions, endpoint lists and watches of hundreds of balancers in one process,
+//! with randomly drawn calls and modelled nodes instead of client and node sockets.
 //!
-//! One thread carries them all, so that copies and nodes share their state without locks. Control is asked over
-//! real loopback connections; calls take no time but that of the nodes' work, and use no descriptors.
+//! All of them run on one thread, so balancers and nodes share their state without locks. The control plane
+//! is called over real loopback connections. Calls use no descriptors, and take no time except for the
+//! modelled work of the nodes.
 
 mod arrivals;
 mod balancer;
@@ -32,32 +33,32 @@
 use crate::scenario::Scenario;
 use crate::topology::{CopyId, NodeId, Topology};
 
-/// Why the hollow part does not run.
+/// Why the hollow balancers do not run.
 #[derive(Debug, Error)]
 pub enum HollowError {
-    /// A copy cannot start from its configuration.
-    #[error("the configuration of {balancer} cannot be used: {cause}")]
+    /// The configuration of a balancer is invalid.
+    #[error("the configuration of {balancer} is invalid: {cause}")]
     Configuration {
-        /// The copy's name.
+        /// Name of the balancer.
         balancer: String,
-        /// Why.
+        /// What is wrong with the configuration.
         cause: ConfigError,
     },
-    /// The system does not start the thread.
-    #[error("the thread of the hollow copies does not start: {0}")]
+    /// The operating system could not start the thread.
+    #[error("cannot start the thread of the hollow balancers: {0}")]
     Thread(#[from] io::Error),
-    /// The thread has ended by itself.
-    #[error("the thread of the hollow copies has ended before its time")]
+    /// The thread has ended without a request to stop.
+    #[error("the thread of the hollow balancers has ended unexpectedly")]
     Ended,
 }
 
-/// What is left to say of the hollow part when it has stopped.
+/// Figures of the hollow balancers at the end of a run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct HollowEnd {
-    /// The longest time from when something fell due during the load until it was handled: well above some
-    /// milliseconds, the thread could not carry the load.
+    /// Maximum lateness: the longest time during the load from when an event was due until it was handled. If
+    /// it is well above some milliseconds, the thread was too slow for the load.
     pub max_lateness: Duration,
-    /// Calls that had no end yet and are in no figure.
+    /// Calls that had not ended; no figure includes them.
     pub open_calls: usize,
 }
 
@@ -70,7 +71,7 @@
     Stop,
 }
 
-/// The hollow copies of a run. Dropping it ends their thread.
+/// The hollow balancers of a run. Their thread ends when this is dropped.
 #[derive(Debug)]
 pub struct HollowFleet {
     commands: UnboundedSender<Command>,
@@ -80,11 +81,11 @@
 }
 
 impl HollowFleet {
-    /// Starts all hollow copies, which watch their lists at once, and waits until all have started. `seed` is that of
-    /// the calls and of the nodes' work.
+    /// Starts all hollow balancers, which open their watches at once, and waits until all have started.
+    /// `seed` is used to draw the calls and the work of the nodes.
     ///
     /// # Errors
-    /// A configuration cannot be used, or the system has no thread.
+    /// A configuration is invalid, or the thread cannot be started.
     pub fn start(
         scenario: &Scenario,
         topology: &Topology,
@@ -96,84 +97,84 @@
         let node_count = plan.hollow_count();
         let progress = Arc::new(Progress::default());
         let (commands, command_receiver) = unbounded_channel();
-        let (started, started_receiver) = mpsc::channel();
+        let (start_result, start_result_receiver) = mpsc::channel();
         let input = thread::ThreadInput {
             plan,
             control: Arc::clone(control),
             record,
             progress: Arc::clone(&progress),
             commands: command_receiver,
-            started,
+            start_result,
         };
         let thread =
             std::thread::Builder::new().name("hollow".to_owned()).spawn(move || thread::run_thread(input))?;
-        started_receiver.recv().map_err(|_| HollowError::Ended)??;
+        start_result_receiver.recv().map_err(|_| HollowError::Ended)??;
         Ok(Self { commands, thread, progress, node_count })
     }
 
-    /// Calls arrive from `start` on.
+    /// Starts the load: calls arrive from `start` on.
     pub fn begin_load(&self, start: Instant) {
         self.send(Command::BeginLoad(start));
     }
 
-    /// The machine of a hollow node, with the copy on it, says nothing from now on, or is back. Other nodes are passed
-    /// over.
+    /// Makes the machine of a hollow node, with the balancer on it, silent or reachable again. Has no effect
+    /// on other nodes.
     pub fn set_silent(&self, node: NodeId, silent: bool) {
         if node.0 < self.node_count {
             self.send(Command::SetSilent { node: node.0, silent });
         }
     }
 
-    /// The processes of a hollow node and of the copy on it end and start anew, the node cold. Other nodes are passed
-    /// over.
+    /// Restarts the processes of a hollow node, which is then cold, and of the balancer on it. Has no effect
+    /// on other nodes.
     pub fn restart(&self, node: NodeId) {
         if node.0 < self.node_count {
             self.send(Command::Restart { node: node.0 });
         }
     }
 
-    /// Calls between regions are silent from now on, or no longer.
+    /// Cuts the regions off from each other (calls between them get no answer), or reconnects them.
     pub fn set_regions_cut(&self, cut: bool) {
         self.send(Command::SetRegionsCut(cut));
     }
 
-    /// Gives a hollow copy a new configuration, as SIGHUP would. Other copies are passed over.
+    /// Reloads a hollow balancer's configuration, as after SIGHUP. Has no effect on other balancers.
     pub fn reload(&self, balancer: CopyId, configuration: String) {
         if balancer.0 < self.node_count {
             self.send(Command::Reload { balancer: balancer.0, configuration, requested_at: Instant::now() });
         }
     }
 
-    /// Copies with an endpoint to send to, be it from their configuration.
+    /// Number of balancers with an endpoint that takes requests, even if only from their configuration.
     #[must_use]
     pub fn ready_count(&self) -> usize {
         self.progress.ready_count()
     }
 
-    /// Copies whose watch stands and has told them something.
+    /// Number of balancers whose watch is open and has delivered a list or change.
     #[must_use]
     pub fn watching_count(&self) -> usize {
         self.progress.watching_count()
     }
 
-    /// Calls that have arrived and not ended. After the load, all have ended when the clients' time and half a
-    /// second more have passed.
+    /// Number of calls that have arrived and not ended. All calls have ended half a second after the last
+    /// client's deadline.
     #[must_use]
     pub fn open_calls(&self) -> usize {
         self.progress.open_calls()
     }
 
-    /// Stops all copies and waits for their thread.
+    /// Stops all balancers and waits for their thread.
     ///
     /// # Errors
-    /// The thread had ended before.
+    /// The thread had already ended.
     pub fn stop(self) -> Result<HollowEnd, HollowError> {
         self.send(Command::Stop);
         self.thread.join().map_err(|_| HollowError::Ended)?;
         Ok(HollowEnd { max_lateness: self.progress.max_lateness(), open_calls: self.progress.open_calls() })
     }
 
-    /// A thread that has ended takes no commands, which shows when it is stopped.
+    /// If the thread has ended, commands are dropped; [`Self::stop`] reports the error.
     fn send(&self, command: Command) {
         let _ = self.commands.send(command);
     }
--- a/scale/src/hollow/nodes.rs
+++ b/scale/src/hollow/nodes.rs
@@ -1,4 +1,4 @@
-//! The modelled nodes behind hollow copies.
+//! The modelled nodes behind hollow balancers.
 
 use std::time::Duration;
 
@@ -10,21 +10,21 @@
 use crate::scenario;
 use crate::topology::RegionId;
 
-/// Odd, so that the nodes of one run have different seeds.
+/// Multiplier of the node's number in its seed; odd, so that the nodes of a run have different seeds.
 const SEED_MULTIPLIER: u64 = 0x9e37_79b9_7f4a_7c15;
 
 /// A node with its connections.
 #[derive(Debug)]
 pub(super) struct ModelledNode {
-    /// Its work.
+    /// The model of its work.
     pub model: NodeModel,
-    /// Its region.
+    /// Region of the node.
     pub region: RegionId,
-    /// Its machine says nothing.
+    /// Whether its machine is cut off: it neither answers nor accepts connections.
     pub silent: bool,
-    /// Its process has ended and was not started again.
+    /// Whether its process has ended and has not been restarted.
     pub down: bool,
-    /// Counts its processes.
+    /// Increases whenever its process ends or restarts; connections of earlier generations are closed.
     pub generation: u64,
     open_connections: u32,
     max_connections: u32,
@@ -46,7 +46,7 @@
         }
     }
 
-    /// Takes a new connection; `None` if it holds as many as it can.
+    /// Accepts a new connection; `None` if the node has reached its connection limit.
     pub fn accept_connection(&mut self, node: usize, now: Duration) -> Option<Connection> {
         if self.open_connections >= self.max_connections {
             return None;
@@ -56,21 +56,21 @@
         Some(Connection { node, generation: self.generation })
     }
 
-    /// A connection was closed from the other side.
+    /// Handles a connection that the balancer has closed.
     pub fn connection_closed(&mut self, connection: Connection) {
         if connection.generation == self.generation {
             self.open_connections = self.open_connections.saturating_sub(1);
         }
     }
 
-    /// Its process ends, and its connections with it.
+    /// Ends the node's process and its connections.
     pub fn stop(&mut self) {
         self.down = true;
         self.generation += 1;
         self.open_connections = 0;
     }
 
-    /// A new process has started, cold.
+    /// Starts a new, cold process.
     pub fn restart(&mut self, now: Duration) {
         self.stop();
         self.down = false;
@@ -78,7 +78,7 @@
         self.model.restart(now);
     }
 
-    /// What its answers tell of its load, in the fields that the settings name.
+    /// The node's load report with the fields that the settings use; `None` if they use none.
     pub fn load_report(&self, now: Duration, fields: &[String]) -> Option<LoadReport> {
         if fields.is_empty() {
             return None;
--- a/scale/src/hollow/plan.rs
+++ b/scale/src/hollow/plan.rs
@@ -1,4 +1,4 @@
-//! What the hollow part models.
+//! What the hollow balancers' thread models.
 
 use std::net::{Ipv4Addr, SocketAddr};
 
@@ -7,27 +7,28 @@
 use crate::scenario::Scenario;
 use crate::topology::{Carrier, CopyId, Topology};
 
-/// Where hollow copies are told to listen; nobody does.
+/// Listen address in the configurations of hollow balancers, which do not listen.
 const UNUSED_ADDRESS: SocketAddr = SocketAddr::new(std::net::IpAddr::V4(Ipv4Addr::LOCALHOST), 9);
 
-/// The scenario of a run and who stands where in it.
+/// The scenario and fleet of a run.
 #[derive(Debug, Clone)]
 pub(super) struct Plan {
     /// The scenario.
     pub scenario: Scenario,
     /// The fleet.
     pub topology: Topology,
-    /// Seed of all chance in the hollow part.
+    /// Seed of all random draws for hollow balancers and their nodes.
     pub seed: u64,
 }
 
 impl Plan {
-    /// Hollow copies, and hollow nodes: they come first in the topology, one copy on each node.
+    /// Number of hollow balancers, which is also that of hollow nodes: both come first in the topology, with
+    /// one balancer on each node.
     pub fn hollow_count(&self) -> usize {
         self.topology.copies.iter().filter(|balancer| balancer.carrier == Carrier::Hollow).count()
     }
 
-    /// The text of a copy's configuration, with the list as it is now.
+    /// The text of a balancer's configuration, with the current endpoint list.
     pub fn configuration(&self, balancer: CopyId, control: &ControlPlane) -> String {
         let list = control.list(self.topology.copies[balancer.0].target);
         let address = control.address(balancer);
@@ -43,7 +44,8 @@
     }
 }
 
-/// The text of a configuration without the list of nodes, which is most of it and old by the next start.
+/// The text of a configuration without the endpoint list, which is most of it and out of date by the next
+/// start.
 pub(super) fn without_list(text: &str) -> Option<String> {
     let mut configuration: serde_json::Map<String, serde_json::Value> = serde_json::from_str(text).ok()?;
     configuration.remove("known");
--- a/scale/src/hollow/progress.rs
+++ b/scale/src/hollow/progress.rs
@@ -1,9 +1,9 @@
-//! How far the hollow part has come, for those outside its thread.
+//! Counters of the hollow balancers' thread that other threads read.
 
 use std::sync::atomic::{AtomicU64, AtomicUsize, Ordering};
 use std::time::Duration;
 
-/// Counts that the thread keeps and others read.
+/// Counters that the thread updates and others read.
 #[derive(Debug, Default)]
 pub(super) struct Progress {
     ready: AtomicUsize,
@@ -13,47 +13,47 @@
 }
 
 impl Progress {
-    /// Copies with an endpoint to send to.
+    /// Number of balancers with an endpoint that takes requests.
     pub fn ready_count(&self) -> usize {
         self.ready.load(Ordering::Relaxed)
     }
 
-    /// Copies whose watch stands and has told them something.
+    /// Number of balancers whose watch is open and has delivered a list or change.
     pub fn watching_count(&self) -> usize {
         self.watching.load(Ordering::Relaxed)
     }
 
-    /// Calls without an end so far.
+    /// Number of calls that have arrived and not ended.
     pub fn open_calls(&self) -> usize {
         self.open_calls.load(Ordering::Relaxed)
     }
 
-    /// The longest time from when something fell due during the load until it was handled.
+    /// The longest time during the load from when an event was due until it was handled.
     pub fn max_lateness(&self) -> Duration {
         Duration::from_micros(self.max_lateness_us.load(Ordering::Relaxed))
     }
 
-    /// A copy that could serve, or not, now can or cannot.
+    /// Updates the number of ready balancers for one that was ready or not `before` and `after`.
     pub fn ready_changed(&self, before: bool, after: bool) {
         update_count(&self.ready, before, after);
     }
 
-    /// A copy whose watch had told something, or not, now has or has not.
+    /// Updates the number of watching balancers for one that was watching or not `before` and `after`.
     pub fn watching_changed(&self, before: bool, after: bool) {
         update_count(&self.watching, before, after);
     }
 
-    /// A call has arrived.
+    /// Counts a call that has arrived.
     pub fn call_opened(&self) {
         self.open_calls.fetch_add(1, Ordering::Relaxed);
     }
 
-    /// A call has ended.
+    /// Counts a call that has ended.
     pub fn call_ended(&self) {
         self.open_calls.fetch_sub(1, Ordering::Relaxed);
     }
 
-    /// Something was handled so late.
+    /// Records how late an event was handled.
     pub fn record_lateness(&self, lateness: Duration) {
         let lateness_us = u64::try_from(lateness.as_micros()).unwrap_or(u64::MAX);
         self.max_lateness_us.fetch_max(lateness_us, Ordering::Relaxed);
--- a/scale/src/hollow/schedule.rs
+++ b/scale/src/hollow/schedule.rs
@@ -1,4 +1,4 @@
-//! What falls due and when, in order of time and, at one time, in the order added.
+//! The schedule of timed events, ordered by time and, at the same time, by when they were added.
 
 use std::cmp::{Ordering, Reverse};
 use std::collections::BinaryHeap;
@@ -8,53 +8,54 @@
 
 use super::calls::{AttemptId, CallId, ExecutionId};
 
-/// What falls due.
+/// An event that is due at a certain time.
 #[derive(Debug, Clone, Copy)]
 pub(super) enum TimedEvent {
     /// The next first-hop call arrives.
     Arrival,
-    /// A client repeats a call that was refused.
+    /// A client retries a call that was refused.
     Retry(CallId),
-    /// A client leaves.
+    /// A client closes its connection.
     ClientLeaves(CallId),
-    /// A client whose balancer's machine is gone has no more time.
+    /// The deadline of a client whose balancer's machine is gone.
     ClientDeadline(CallId),
-    /// A call that has no answer by now is lost.
+    /// A call that still has no answer is lost.
     CallLost(CallId),
-    /// The balancer answers a request in place of its decisions.
+    /// The balancer answers a request itself, since its decisions have not.
     RequestOverdue(RequestId),
-    /// An attempt has had its time.
+    /// The deadline of an attempt.
     AttemptTimeout(AttemptId),
-    /// A connection that does not come up is given up.
+    /// The time limit for establishing a connection.
     ConnectTimeout(AttemptId),
-    /// A node is done with its own work.
+    /// A node has done its own work for a request.
     WorkDone(ExecutionId),
-    /// A copy's decisions asked to be woken, in that life of its process.
+    /// The timer of a balancer's decisions expires; ignored if its process has been restarted since.
     Wake {
-        /// Position of the copy.
+        /// Index of the balancer.
         balancer: usize,
-        /// The life.
+        /// Generation of the process that set the timer.
         generation: u64,
     },
-    /// A copy closes connections that have been idle for too long.
+    /// A balancer closes connections that have been idle for too long.
     SweepIdleConnections {
-        /// Position of the copy.
+        /// Index of the balancer.
         balancer: usize,
     },
 }
 
-/// An entry that has fallen due.
+/// An event that is due.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct DueEvent {
-    /// When it fell due.
+    /// When it was due.
     pub at: Duration,
-    /// What it is.
+    /// The event.
     pub event: TimedEvent,
 }
 
 #[derive(Debug)]
 struct Entry {
     at: Duration,
+    /// Keeps events that are due at the same time in the order in which they were added.
     order: u64,
     event: TimedEvent,
 }
@@ -79,7 +80,7 @@
 
 impl Eq for Entry {}
 
-/// The schedule of the whole hollow part.
+/// The schedule of all hollow balancers, their nodes and clients.
 #[derive(Debug, Default)]
 pub(super) struct Schedule {
     entries: BinaryHeap<Reverse<Entry>>,
@@ -87,18 +88,18 @@
 }
 
 impl Schedule {
-    /// Adds an entry; times are counted from the start of the hollow part.
+    /// Adds an event; times are counted from the start of the host.
     pub fn add(&mut self, at: Duration, event: TimedEvent) {
         self.added_count += 1;
         self.entries.push(Reverse(Entry { at, order: self.added_count, event }));
     }
 
-    /// When the next entry falls due.
+    /// When the next event is due.
     pub fn next_at(&self) -> Option<Duration> {
         self.entries.peek().map(|Reverse(entry)| entry.at)
     }
 
-    /// Takes out the next entry that is due at `now`.
+    /// Removes and returns the next event if it is due at `now`.
     pub fn take_due(&mut self, now: Duration) -> Option<DueEvent> {
         if self.next_at()? > now {
             return None;
--- a/scale/src/hollow/tests.rs
+++ b/scale/src/hollow/tests.rs
@@ -1,4 +1,4 @@
-//! Small fleets of hollow copies on loopback, with the real control plane of the model.
+//! Tests with small fleets of hollow balancers and the tool's real control plane on loopback.
 
 use std::time::Duration;
 
@@ -13,7 +13,8 @@
 use crate::scenario::{Depth, SettingsChange};
 use crate::topology::{Carrier, ServiceId};
 
-/// 24 copies, 8 behind each service; `extra` goes before the parts that all tests share.
+/// A scenario with 24 balancers, 8 for each service; `extra` is inserted before the tables that all tests
+/// share.
 fn scenario(extra: &str) -> Scenario {
     let text = format!(
         r#"
@@ -39,7 +40,7 @@
         reset_share = 0.01
         "#
     );
-    toml::from_str(&text).expect("a scenario")
+    toml::from_str(&text).expect("the scenario is valid")
 }
 
 fn endpoint(topology: &Topology, node: NodeId, weight: f64) -> Endpoint {
@@ -65,18 +66,20 @@
 }
 
 impl TestFleet {
-    /// All copies run and have heard from control; the load has not begun.
+    /// Waits until all balancers have received a list from the control plane; the load has not started.
     async fn start(scenario: Scenario) -> Self {
         let topology = Topology::of(&scenario.fleet);
         let record = Arc::new(Record::default());
-        let control = ControlPlane::start(&scenario, &topology, Arc::clone(&record)).await.expect("ports");
+        let control = ControlPlane::start(&scenario, &topology, Arc::clone(&record))
+            .await
+            .expect("the control plane starts");
         for (number, service) in topology.services.iter().enumerate() {
             let endpoints = service.nodes.iter().map(|&node| endpoint(&topology, node, 1.0)).collect();
             control.set_list(ServiceId(number), endpoints);
         }
         let fleet = HollowFleet::start(&scenario, &topology, &control, Arc::clone(&record), scenario.seed);
-        let test = Self { fleet: fleet.expect("it starts"), scenario, topology, control, record };
-        test.wait_until("all copies are told", |test| test.fleet.watching_count() == 24).await;
+        let test = Self { fleet: fleet.expect("the fleet starts"), scenario, topology, control, record };
+        test.wait_until("all balancers have received a list", |test| test.fleet.watching_count() == 24).await;
         assert_eq!(test.fleet.ready_count(), 24);
         test
     }
@@ -87,28 +90,30 @@
                 sleep(Duration::from_millis(5)).await;
             }
         };
-        timeout(Duration::from_secs(30), poll).await.unwrap_or_else(|_| panic!("waited in vain: {what}"));
+        timeout(Duration::from_secs(30), poll)
+            .await
+            .unwrap_or_else(|_| panic!("timed out waiting until {what}"));
     }
 
     fn arrivals(&self) -> Vec<Arrival> {
         draw_arrivals(&self.scenario, self.scenario.seed)
     }
 
-    fn ended(&self) -> usize {
+    fn ended_calls(&self) -> usize {
         self.record.measured().calls.len()
     }
 
-    /// Changes that copies were told and that came into force.
+    /// Numbers of recorded list changes that balancers have received and that have come into force.
     fn list_delay_counts(&self) -> (u64, u64) {
         let measured = self.record.measured();
         (measured.list_delivery_us.count(), measured.list_in_force_us.count())
     }
 
-    /// Waits for the last call and checks what holds in every run; returns how many were served.
+    /// Waits for the last call and checks what must hold in every run; returns the number of served calls.
     async fn finish(self) -> usize {
         let arrival_count = self.arrivals().len();
-        self.wait_until("all calls end", |test| test.ended() >= arrival_count).await;
-        let end = self.fleet.stop().expect("the thread ran to its end");
+        self.wait_until("all calls have ended", |test| test.ended_calls() >= arrival_count).await;
+        let end = self.fleet.stop().expect("the thread ran until it was stopped");
         assert_eq!(end.open_calls, 0);
         let measured = self.record.measured();
         let count = |end| measured.calls.iter().filter(|call| call.end == end).count();
@@ -116,7 +121,7 @@
             [CallEnd::Served, CallEnd::Refused, CallEnd::Failed, CallEnd::ClientLeft].map(count);
         assert_eq!(served + refused + failed + left, arrival_count);
         assert_eq!((count(CallEnd::Lost), measured.duplicated), (0, 0));
-        // A client waits for a second; the balancer's last word comes 2 ms later.
+        // A client waits for a second; the balancer answers 2 ms after that at the latest.
         let late = measured.calls.iter().filter(|call| call.latency > Duration::from_millis(1002)).count();
         assert_eq!(late, 0);
         served
@@ -128,9 +133,9 @@
     Arrivals::new(&scenario.load, scenario.fleet.hollow as usize, time, seed).collect()
 }
 
-/// Guards runs that are to be compared: one seed draws one sequence of arrivals, in order of time.
+/// Runs can only be compared if a seed always gives the same sequence of arrivals, ordered by time.
 #[test]
-fn one_seed_draws_the_same_arrivals() {
+fn a_seed_always_draws_the_same_arrivals() {
     let scenario = scenario("");
     let first = draw_arrivals(&scenario, 7);
     assert!(first.is_sorted_by_key(|arrival| arrival.at));
@@ -138,8 +143,8 @@
     assert_ne!(first, draw_arrivals(&scenario, 8));
 }
 
-/// Guards the counts of calls, requests and attempts against each other, over calls with errors, resets, repeats and
-/// clients that leave.
+/// The counts of calls, requests and attempts must agree, also with errors, resets, retries and clients that
+/// leave early.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn every_call_ends_once() {
     let test = TestFleet::start(scenario("")).await;
@@ -158,7 +163,7 @@
     assert!(served_four_hop_calls.count() as u64 > four_hop_arrivals / 2);
 }
 
-/// Calls of one hop that may be repeated, to nodes that serve all they get.
+/// One-hop calls that may be retried, to nodes that serve all requests.
 fn repeatable_calls_scenario() -> Scenario {
     let mut scenario = scenario("");
     scenario.load.depths = vec![Depth { hops: 1, share: 1.0 }];
@@ -168,9 +173,9 @@
     scenario
 }
 
-/// Guards against calls that hang on connections that do not come up: they are repeated elsewhere within their time.
+/// Calls must not hang on connections that are never established: they are retried on other nodes in time.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn silent_nodes_are_gone_round() {
+async fn calls_are_retried_away_from_silent_nodes() {
     let test = TestFleet::start(repeatable_calls_scenario()).await;
     for node in [0, 1, 2, 3] {
         test.fleet.set_silent(NodeId(node), true);
@@ -180,85 +185,87 @@
     assert_eq!(test.finish().await, arrival_count);
 }
 
-/// Guards against calls that hang on connections that stood when the other side fell silent: their attempts are given
-/// up when the decisions say, well before the client's time is up.
+/// Calls must not hang on open connections whose other end became silent: their attempts end at the timeout
+/// that the decisions set, well before the client's deadline.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn attempts_on_silent_connections_time_out() {
     let test = TestFleet::start(repeatable_calls_scenario()).await;
     test.fleet.begin_load(Instant::now());
-    test.wait_until("some calls end", |test| test.ended() >= 150).await;
+    test.wait_until("some calls have ended", |test| test.ended_calls() >= 150).await;
     test.fleet.set_regions_cut(true);
     let (record, arrival_count) = (Arc::clone(&test.record), test.arrivals().len());
     let served = test.finish().await;
-    assert!(served < arrival_count, "no call met a silent connection");
+    assert!(served < arrival_count, "no call used a silent connection");
     let longest = record.measured().calls.iter().map(|call| call.latency).max();
     assert!(longest < Some(Duration::from_millis(900)), "a call took {longest:?}");
 }
 
-/// Guards the counts through faults in the middle of the load: restarts, silence and regions apart.
+/// Every call must end exactly once, even with faults during the load: restarts, silent machines and
+/// disconnected regions.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn calls_end_once_through_faults() {
     let test = TestFleet::start(scenario("")).await;
     test.fleet.begin_load(Instant::now());
-    test.wait_until("some calls end", |test| test.ended() >= 50).await;
+    test.wait_until("some calls have ended", |test| test.ended_calls() >= 50).await;
     test.fleet.restart(NodeId(3));
     test.fleet.set_silent(NodeId(4), true);
-    test.wait_until("more calls end", |test| test.ended() >= 120).await;
+    test.wait_until("more calls have ended", |test| test.ended_calls() >= 120).await;
     test.fleet.set_regions_cut(true);
     test.fleet.set_silent(NodeId(4), false);
-    test.wait_until("more calls end", |test| test.ended() >= 200).await;
+    test.wait_until("more calls have ended", |test| test.ended_calls() >= 200).await;
     test.fleet.set_regions_cut(false);
     test.fleet.restart(NodeId(4));
-    test.wait_until("the restarted copies are told", |test| test.fleet.watching_count() == 24).await;
+    test.wait_until("the restarted balancers have received a list", |test| test.fleet.watching_count() == 24)
+        .await;
     let served = test.finish().await;
     assert!(served > 0);
 }
 
-/// Guards the way of a change from control to the decisions of every copy, by a patch on a watch that stands and by
-/// one that was opened again.
+/// A list change must reach the decisions of every balancer, as a patch on an open watch or through a watch
+/// that was opened again.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_list_change_reaches_every_copy() {
     let mut scenario = scenario("");
     scenario.load.hollow_calls_per_s = 0.0;
     let test = TestFleet::start(scenario).await;
     let nodes = test.topology.services[1].nodes.clone();
-    // Made before the load and told during it: in no figure.
+    // Published before the load and received during it, so it is not recorded.
     for replica in 0..3 {
         test.control.stop_replica(replica);
     }
-    test.wait_until("all watches break", |test| test.fleet.watching_count() == 0).await;
+    test.wait_until("all watches are broken", |test| test.fleet.watching_count() == 0).await;
     test.control.update_entry(ServiceId(1), endpoint(&test.topology, nodes[0], 1.5));
     test.fleet.begin_load(Instant::now());
     test.control.update_entry(ServiceId(1), endpoint(&test.topology, nodes[1], 2.0));
     for replica in 0..3 {
         test.control.start_replica(replica).await;
     }
-    test.wait_until("all copies are told", |test| test.fleet.watching_count() == 24).await;
+    test.wait_until("all balancers have received a list", |test| test.fleet.watching_count() == 24).await;
     assert_eq!(test.list_delay_counts(), (8, 8));
     test.control.break_watches();
     test.control
         .update_entry(ServiceId(2), endpoint(&test.topology, test.topology.services[2].nodes[0], 2.0));
-    test.wait_until("the next change is told", |test| test.list_delay_counts().0 >= 16).await;
-    test.wait_until("all copies are told", |test| test.fleet.watching_count() == 24).await;
+    test.wait_until("the next change has been received", |test| test.list_delay_counts().0 >= 16).await;
+    test.wait_until("all balancers have received a list", |test| test.fleet.watching_count() == 24).await;
     assert_eq!(test.list_delay_counts(), (16, 16));
-    test.fleet.stop().expect("the thread ran to its end");
+    test.fleet.stop().expect("the thread ran until it was stopped");
 }
 
 fn configuration(test: &TestFleet, balancer: CopyId, change: SettingsChange) -> String {
     let list = test.control.list(test.topology.copies[balancer.0].target);
-    let listen = "127.0.0.1:9".parse().expect("an address");
+    let listen = "127.0.0.1:9".parse().expect("a valid address");
     let address = test.control.address(balancer);
     let (scenario, topology) = (&test.scenario, &test.topology);
     settings::configuration(scenario, topology, balancer, listen, address, &list, Some(change))
 }
 
-/// Guards the way of new settings to copies that serve, one of which starts anew with them; a text that does not
-/// parse is counted as missed.
+/// New settings must come into force at balancers that serve calls, one of which is restarted with them; a
+/// text that does not parse counts as missed.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn settings_come_into_force_or_are_missed() {
+async fn new_settings_come_into_force_or_count_as_missed() {
     let test = TestFleet::start(scenario("")).await;
     test.fleet.begin_load(Instant::now());
-    test.wait_until("some calls end", |test| test.ended() >= 50).await;
+    test.wait_until("some calls have ended", |test| test.ended_calls() >= 50).await;
     let reload = |balancer, change| {
         test.fleet.reload(CopyId(balancer), configuration(&test, CopyId(balancer), change));
     };
@@ -266,7 +273,7 @@
     reload(5, SettingsChange::Malformed);
     reload(6, SettingsChange::Copies);
     test.fleet.restart(NodeId(4));
-    // Settings without the class that was added follow those with it.
+    // These settings lack the added class and replace settings that contain it.
     reload(4, SettingsChange::Copies);
     let record = Arc::clone(&test.record);
     test.finish().await;
@@ -274,13 +281,13 @@
     assert_eq!((measured.settings_in_force_us.count(), measured.settings_missed), (3, 1));
 }
 
-/// Guards the settings that a copy starts anew with: those that it was given last, without the old list.
+/// A balancer must restart with the latest settings that it was given, without the outdated list.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn given_settings_are_kept_without_the_list() {
+async fn reloaded_settings_are_kept_without_the_list() {
     let test = TestFleet::start(scenario("")).await;
     let text = configuration(&test, CopyId(4), SettingsChange::AddClass);
-    let text_without_list = plan::without_list(&text).expect("it parses");
-    let config = Config::parse(&text_without_list, |_| None).expect("a sound configuration");
+    let text_without_list = plan::without_list(&text).expect("the text parses");
+    let config = Config::parse(&text_without_list, |_| None).expect("the configuration is valid");
     assert!(config.known.is_none());
     assert!(config.loaded.names.classes.contains_key(settings::CLASS_EXTRA));
 }
--- a/scale/src/hollow/thread.rs
+++ b/scale/src/hollow/thread.rs
@@ -1,4 +1,4 @@
-//! The thread that carries the hollow part, at the pace of the clock.
+//! The thread of the hollow balancers, which handles timed events in real time.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -18,44 +18,44 @@
 use crate::control::ControlPlane;
 use crate::record::Record;
 
-/// Things handled at one go, before watches get their turn.
+/// Maximum number of events handled in a row before watches run.
 const MAX_EVENTS_PER_BATCH: usize = 256;
-/// The longest sleep: watches may add something that falls due sooner than all that was planned.
+/// Longest sleep: watches may add events that are due before all scheduled ones.
 const MAX_SLEEP: Duration = Duration::from_millis(5);
-/// Time between two looks at the thread's processor time.
+/// Interval between two samples of the thread's processor time.
 const CPU_TIME_SAMPLE_INTERVAL: Duration = Duration::from_millis(50);
 
-/// What the thread is started with.
+/// What the thread needs to run.
 pub(super) struct ThreadInput {
     /// What it models.
     pub plan: Plan,
-    /// Where copies watch their lists.
+    /// The control plane whose lists the balancers watch.
     pub control: Arc<ControlPlane>,
-    /// Where figures go.
+    /// Where measurements are recorded.
     pub record: Arc<Record>,
-    /// How far it has come.
+    /// Counters that other threads read.
     pub progress: Arc<Progress>,
-    /// What it is told.
+    /// Commands to the thread.
     pub commands: UnboundedReceiver<Command>,
-    /// Hears whether all copies have started.
-    pub started: Sender<Result<(), HollowError>>,
+    /// Receives the result once all balancers have started or one has failed to.
+    pub start_result: Sender<Result<(), HollowError>>,
 }
 
-/// Runs the hollow part until it is told to stop.
+/// Runs the hollow balancers until the command to stop.
 pub(super) fn run_thread(input: ThreadInput) {
-    let ThreadInput { plan, control, record, progress, commands, started } = input;
+    let ThreadInput { plan, control, record, progress, commands, start_result } = input;
     let runtime = match tokio::runtime::Builder::new_current_thread().enable_all().build() {
         Ok(runtime) => runtime,
-        Err(error) => return drop(started.send(Err(HollowError::Thread(error)))),
+        Err(error) => return drop(start_result.send(Err(HollowError::Thread(error)))),
     };
     LocalSet::new().block_on(&runtime, async {
         match HollowHost::start(plan, control, Arc::clone(&record), progress) {
             Ok(host) => {
-                // Whoever started the thread may have given up.
-                let _ = started.send(Ok(()));
+                // The thread that started this one may no longer wait.
+                let _ = start_result.send(Ok(()));
                 run_event_loop(&host, commands, &record).await;
             }
-            Err(error) => drop(started.send(Err(error))),
+            Err(error) => drop(start_result.send(Err(error))),
         }
     });
 }
@@ -69,7 +69,7 @@
     loop {
         let more_due = host.borrow_mut().advance(MAX_EVENTS_PER_BATCH);
         cpu_time.sample(record);
-        let wait = host.borrow().time_to_next_event().unwrap_or(MAX_SLEEP);
+        let time_to_next = host.borrow().time_to_next_event().unwrap_or(MAX_SLEEP);
         tokio::select! {
             biased;
             command = commands.recv() => match command {
@@ -81,7 +81,7 @@
                 Some(command) => apply_command(&mut host.borrow_mut(), command),
             },
             () = yield_now(), if more_due => {}
-            () = sleep(wait.min(MAX_SLEEP)), if !more_due => {}
+            () = sleep(time_to_next.min(MAX_SLEEP)), if !more_due => {}
         }
     }
     cpu_time.write_to(record);
@@ -95,12 +95,12 @@
         Command::Reload { balancer, configuration, requested_at } => {
             host.reload(balancer, &configuration, requested_at)
         }
-        // Both were seen to by the loop.
+        // The event loop has already handled both.
         Command::BeginLoad(_) | Command::Stop => {}
     }
 }
 
-/// Processor time of the thread since the load began.
+/// Measures the thread's processor time since the load began.
 #[derive(Default)]
 struct CpuTimeSampler {
     baseline: Option<Duration>,
@@ -112,7 +112,7 @@
         Self { baseline: thread_cpu_time(), sampled_at: None }
     }
 
-    /// Notes the time from time to time, so that a run that is cut short has it too.
+    /// Records the processor time at intervals, so that a run that is aborted has it too.
     fn sample(&mut self, record: &Record) {
         if self.sampled_at.is_none_or(|at| at.elapsed() >= CPU_TIME_SAMPLE_INTERVAL) {
             self.sampled_at = Some(Instant::now());
