--- a/simulator/src/host.rs
+++ b/simulator/src/host.rs
@@ -13,7 +13,7 @@
 use thiserror::Error;
 
 use crate::setup::{self, Names, ParsedSettings};
-use crate::wire::{self, Fields, Malformed, invalid_field};
+use crate::wire::{self, Fields, LineError, invalid_field};
 
 /// Why the adapter stops before the end of its input.
 #[derive(Debug, Error)]
@@ -24,7 +24,7 @@
         /// The line's number, counted from 1.
         line: u64,
         /// What is wrong with it.
-        cause: Malformed,
+        cause: LineError,
     },
     /// The input cannot be read or the output cannot be written.
     #[error("reading or writing failed: {0}")]
@@ -101,14 +101,14 @@
             text.clear();
             if input.read_until(b'\n', &mut text)? == 0 {
                 if self.current_batch.is_some() {
-                    return Err(HostError::Line { line, cause: Malformed::InputEndsInBatch });
+                    return Err(HostError::Line { line, cause: LineError::InputEndsInBatch });
                 }
                 return Ok(());
             }
             line += 1;
             let text = text.strip_suffix(b"\n").unwrap_or(&text);
             let handled = from_utf8(text)
-                .map_err(|_| Malformed::NotUtf8)
+                .map_err(|_| LineError::NotUtf8)
                 .and_then(|text| self.handle_line(text, &mut output));
             match handled {
                 Ok(LineResult::BatchEnded) => output.flush()?,
@@ -119,7 +119,7 @@
         }
     }
 
-    fn handle_line(&mut self, text: &str, output: &mut impl Write) -> Result<LineResult, Malformed> {
+    fn handle_line(&mut self, text: &str, output: &mut impl Write) -> Result<LineResult, LineError> {
         let (name, rest) = match text.split_once('\t') {
             Some((name, rest)) => (name, Some(rest)),
             None => (text, None),
@@ -129,15 +129,15 @@
             && missing > 0
             && name != "M"
         {
-            return Err(Malformed::IncompleteList { list, missing });
+            return Err(LineError::IncompleteList { list, missing });
         }
         if name == "TURN" {
             return self.start_batch(fields).map(|()| LineResult::Done);
         }
         if self.current_batch.is_none() {
             return Err(match name {
-                "YOUR_TURN" => Malformed::OutsideBatch("YOUR_TURN"),
-                _ => Malformed::OutsideBatch("a message"),
+                "YOUR_TURN" => LineError::OutsideBatch("YOUR_TURN"),
+                _ => LineError::OutsideBatch("a message"),
             });
         }
         match name {
@@ -156,7 +156,7 @@
             "INVENTORY" => self.start_list(fields)?,
             "M" => self.add_list_entry(fields)?,
             _ => {
-                let instance_number = self.target_instance.ok_or(Malformed::NoTargetInstance)?;
+                let instance_number = self.target_instance.ok_or(LineError::NoTargetInstance)?;
                 self.handle_event(instance_number, name, fields)?;
                 return Ok(LineResult::from_write(
                     self.write_actions(instance_number, output),
@@ -167,16 +167,16 @@
         Ok(LineResult::Done)
     }
 
-    fn start_batch(&mut self, mut fields: Fields) -> Result<(), Malformed> {
+    fn start_batch(&mut self, mut fields: Fields) -> Result<(), LineError> {
         if self.current_batch.is_some() {
-            return Err(Malformed::OutsideBatch("a TURN line must be"));
+            return Err(LineError::OutsideBatch("a TURN line must be"));
         }
         let now = fields.seconds("clock")?;
         let batch = fields.text("batch")?;
         batch.parse::<u64>().map_err(|_| invalid_field("batch", batch))?;
         fields.expect_end()?;
         if now < self.now {
-            return Err(Malformed::ClockWentBack);
+            return Err(LineError::ClockWentBack);
         }
         self.now = now;
         self.current_batch = Some(batch.to_owned());
@@ -185,7 +185,7 @@
         Ok(())
     }
 
-    fn start_list(&mut self, mut fields: Fields) -> Result<(), Malformed> {
+    fn start_list(&mut self, mut fields: Fields) -> Result<(), LineError> {
         let list = fields.number("buffer")?;
         let count: usize = fields.number("membersList")?;
         fields.expect_end()?;
@@ -194,9 +194,9 @@
         Ok(())
     }
 
-    fn add_list_entry(&mut self, mut fields: Fields) -> Result<(), Malformed> {
+    fn add_list_entry(&mut self, mut fields: Fields) -> Result<(), LineError> {
         let Some((list, missing)) = self.unfinished_list.filter(|&(_, missing)| missing > 0) else {
-            return Err(Malformed::EntryOutsideList);
+            return Err(LineError::EntryOutsideList);
         };
         let id = UpstreamId(fields.number("upstream")?);
         let zone = fields.optional("regionPart")?.unwrap_or_default().to_owned();
@@ -228,12 +228,12 @@
         instance_number: u32,
         name: &str,
         mut fields: Fields,
-    ) -> Result<(), Malformed> {
+    ) -> Result<(), LineError> {
         if name == "START" {
             return self.start_instance(instance_number, fields);
         }
         let instance =
-            self.instances.get_mut(&instance_number).ok_or(Malformed::InstanceNotStarted(instance_number))?;
+            self.instances.get_mut(&instance_number).ok_or(LineError::InstanceNotStarted(instance_number))?;
         if name == "DESTROY" {
             *instance = None;
             return fields.expect_end();
@@ -296,7 +296,7 @@
         Ok(())
     }
 
-    fn start_instance(&mut self, instance_number: u32, mut fields: Fields) -> Result<(), Malformed> {
+    fn start_instance(&mut self, instance_number: u32, mut fields: Fields) -> Result<(), LineError> {
         let seed = fields.number("nonce64")?;
         let ParsedSettings { settings, names, .. } = setup::parse_settings(fields.remainder("setup")?)?;
         let mut balancer = Balancer::new(settings, seed)?;
@@ -348,7 +348,7 @@
 }
 
 /// Checks that the protocol has an event of this name.
-fn check_message_name(name: &str) -> Result<(), Malformed> {
+fn check_message_name(name: &str) -> Result<(), LineError> {
     const EVENTS: [&str; 9] = [
         "PEERS_KNOWN",
         "ASK",
@@ -363,7 +363,7 @@
     if EVENTS.contains(&name) {
         Ok(())
     } else {
-        Err(Malformed::UnknownMessage(name.chars().take(80).collect()))
+        Err(LineError::UnknownMessage(name.chars().take(80).collect()))
     }
 }
 
@@ -371,7 +371,7 @@
     lists: &FxHashMap<u32, Vec<ListEntry>>,
     names: &Names,
     fields: &mut Fields,
-) -> Result<Event, Malformed> {
+) -> Result<Event, LineError> {
     let scope = fields.text("scope")?;
     fields.number::<u64>("version")?;
     let buffer = fields.text("buffer")?;
@@ -379,7 +379,7 @@
         return Ok(Event::Discovery(DiscoveryUpdate::Failed));
     }
     let list = buffer.parse().map_err(|_| invalid_field("buffer", buffer))?;
-    let entries = lists.get(&list).ok_or(Malformed::UnknownList(list))?;
+    let entries = lists.get(&list).ok_or(LineError::UnknownList(list))?;
     let members = entries
         .iter()
         .map(|entry| Member {
@@ -396,12 +396,12 @@
     }))
 }
 
-fn parse_request(instance: &mut Instance, fields: &mut Fields) -> Result<Event, Malformed> {
+fn parse_request(instance: &mut Instance, fields: &mut Fields) -> Result<Event, LineError> {
     const EXPECTED_WORK_VALID_BIT: u32 = 1;
     const RETRY_BIT: u32 = 2;
     let ticket = fields.text("ticket")?;
     if instance.ids_by_ticket.contains_key(ticket) {
-        return Err(Malformed::DuplicateRequest(ticket.to_owned()));
+        return Err(LineError::DuplicateRequest(ticket.to_owned()));
     }
     let class = fields.text("cls")?;
     let class = *instance.names.classes.get(class).ok_or_else(|| invalid_field("cls", class))?;
@@ -433,7 +433,7 @@
     }))
 }
 
-fn parse_attempt_end(instance: &mut Instance, fields: &mut Fields) -> Result<Option<Event>, Malformed> {
+fn parse_attempt_end(instance: &mut Instance, fields: &mut Fields) -> Result<Option<Event>, LineError> {
     let id = instance.ids_by_ticket.get(fields.text("ticket")?).copied();
     let attempt = AttemptNumber(fields.number("n")?);
     fields.number::<u32>("upstream")?;
@@ -449,7 +449,7 @@
     Ok(Some(Event::AttemptEnded(AttemptEnded { request, attempt, outcome, duration, request_ended, load })))
 }
 
-fn parse_load_report(names: &Names, fields: &mut Fields) -> Result<Option<LoadReport>, Malformed> {
+fn parse_load_report(names: &Names, fields: &mut Fields) -> Result<Option<LoadReport>, LineError> {
     let Some(text) = fields.optional("stats")? else { return Ok(None) };
     let mut report = LoadReport::default();
     for (index, value) in text.split(',').enumerate() {
--- a/simulator/src/lib.rs
+++ b/simulator/src/lib.rs
@@ -6,4 +6,4 @@
 mod wire;
 
 pub use host::{Host, HostError};
-pub use wire::Malformed;
+pub use wire::LineError;
--- a/simulator/src/wire.rs
+++ b/simulator/src/wire.rs
@@ -10,7 +10,7 @@
 
 /// Why a line of input cannot be accepted.
 #[derive(Debug, Error)]
-pub enum Malformed {
+pub enum LineError {
     /// The line is not valid UTF-8.
     #[error("not UTF-8 text")]
     NotUtf8,
@@ -85,41 +85,41 @@
     }
 
     /// Takes the next field, which must not be empty.
-    pub fn text(&mut self, field: &'static str) -> Result<&'a str, Malformed> {
-        let rest = self.rest.ok_or(Malformed::MissingField { field })?;
+    pub fn text(&mut self, field: &'static str) -> Result<&'a str, LineError> {
+        let rest = self.rest.ok_or(LineError::MissingField { field })?;
         let (value, rest) = match rest.split_once('\t') {
             Some((value, rest)) => (value, Some(rest)),
             None => (rest, None),
         };
         self.rest = rest;
-        if value.is_empty() { Err(Malformed::MissingField { field }) } else { Ok(value) }
+        if value.is_empty() { Err(LineError::MissingField { field }) } else { Ok(value) }
     }
 
     /// Takes the next field, or `None` if it is marked as absent by `-`.
-    pub fn optional(&mut self, field: &'static str) -> Result<Option<&'a str>, Malformed> {
+    pub fn optional(&mut self, field: &'static str) -> Result<Option<&'a str>, LineError> {
         Ok(Some(self.text(field)?).filter(|&value| value != "-"))
     }
 
     /// Parses the next field as a number.
-    pub fn number<T: FromStr>(&mut self, field: &'static str) -> Result<T, Malformed> {
+    pub fn number<T: FromStr>(&mut self, field: &'static str) -> Result<T, LineError> {
         let value = self.text(field)?;
         value.parse().map_err(|_| invalid_field(field, value))
     }
 
     /// Parses the next field as a duration in seconds.
-    pub fn seconds(&mut self, field: &'static str) -> Result<Duration, Malformed> {
+    pub fn seconds(&mut self, field: &'static str) -> Result<Duration, LineError> {
         let value = self.text(field)?;
         parse_seconds(value).ok_or_else(|| invalid_field(field, value))
     }
 
     /// Parses the next field as a duration in seconds that may be absent.
-    pub fn optional_seconds(&mut self, field: &'static str) -> Result<Option<Duration>, Malformed> {
+    pub fn optional_seconds(&mut self, field: &'static str) -> Result<Option<Duration>, LineError> {
         let value = self.optional(field)?;
         value.map(|value| parse_seconds(value).ok_or_else(|| invalid_field(field, value))).transpose()
     }
 
     /// Parses the next field as `1` (true) or `0` (false).
-    pub fn flag(&mut self, field: &'static str) -> Result<bool, Malformed> {
+    pub fn flag(&mut self, field: &'static str) -> Result<bool, LineError> {
         match self.text(field)? {
             "1" => Ok(true),
             "0" => Ok(false),
@@ -128,26 +128,26 @@
     }
 
     /// Takes the rest of the line as one field.
-    pub fn remainder(&mut self, field: &'static str) -> Result<&'a str, Malformed> {
-        self.rest.take().ok_or(Malformed::MissingField { field })
+    pub fn remainder(&mut self, field: &'static str) -> Result<&'a str, LineError> {
+        self.rest.take().ok_or(LineError::MissingField { field })
     }
 
     /// Checks that no field is left.
-    pub fn expect_end(&self) -> Result<(), Malformed> {
-        if self.rest.is_some() { Err(Malformed::ExtraFields) } else { Ok(()) }
+    pub fn expect_end(&self) -> Result<(), LineError> {
+        if self.rest.is_some() { Err(LineError::ExtraFields) } else { Ok(()) }
     }
 }
 
 /// The error for a field with this content, which is truncated to 80 characters.
-pub fn invalid_field(field: &'static str, value: &str) -> Malformed {
-    Malformed::InvalidField { field, value: value.chars().take(80).collect() }
+pub fn invalid_field(field: &'static str, value: &str) -> LineError {
+    LineError::InvalidField { field, value: value.chars().take(80).collect() }
 }
 
 fn parse_seconds(value: &str) -> Option<Duration> {
     Duration::try_from_secs_f64(value.parse().ok()?).ok()
 }
 
-pub fn parse_outcome(value: &str) -> Result<Outcome, Malformed> {
+pub fn parse_outcome(value: &str) -> Result<Outcome, LineError> {
     Ok(match value {
         "GOOD" => Outcome::Good,
         "BAD" => Outcome::Error,
@@ -161,7 +161,7 @@
     })
 }
 
-pub fn parse_phase(value: &str) -> Result<Phase, Malformed> {
+pub fn parse_phase(value: &str) -> Result<Phase, LineError> {
     Ok(match value {
         "Ready" => Phase::Ready,
         "Terminating" => Phase::Draining,
@@ -171,7 +171,7 @@
 }
 
 /// Parses the bytes of a peer message from hexadecimal digits; `-` stands for an empty message.
-pub fn parse_hex(value: &str) -> Result<Vec<u8>, Malformed> {
+pub fn parse_hex(value: &str) -> Result<Vec<u8>, LineError> {
     if value == "-" {
         return Ok(Vec::new());
     }
--- a/src/decide.rs
+++ b/src/decide.rs
@@ -248,11 +248,11 @@
     }
 
     /// Moves the window to the present and clears the buckets that it enters.
-    fn advance(&mut self, now: f64) {
-        let now_bucket = (now / self.bucket_s) as u64;
-        let steps = now_bucket.saturating_sub(self.current_bucket).min(WINDOW_BUCKETS as u64);
-        for step in 1..=steps {
-            let bucket = &mut self.buckets[((self.current_bucket + step) % WINDOW_BUCKETS as u64) as usize];
+    fn advance(&mut self, now_s: f64) {
+        let now_bucket = (now_s / self.bucket_s) as u64;
+        let entered_buckets = now_bucket.saturating_sub(self.current_bucket).min(WINDOW_BUCKETS as u64);
+        for offset in 1..=entered_buckets {
+            let bucket = &mut self.buckets[((self.current_bucket + offset) % WINDOW_BUCKETS as u64) as usize];
             self.window_counts.total -= bucket.total;
             self.window_counts.accepted -= bucket.accepted;
             *bucket = CallCounts::default();
@@ -260,8 +260,8 @@
         self.current_bucket = self.current_bucket.max(now_bucket);
     }
 
-    fn accepted_rate(&mut self, now: f64) -> f64 {
-        self.advance(now);
+    fn accepted_rate(&mut self, now_s: f64) -> f64 {
+        self.advance(now_s);
         f64::from(self.window_counts.accepted) / self.observed_window_s()
     }
 
@@ -279,8 +279,8 @@
     /// replica would add up to several times the limit over many replicas. The random threshold is drawn once
     /// per window and again after each accepted call; if it were drawn for each call, clients that retry
     /// denied calls would get through by repetition.
-    fn fits_soft_limit(&mut self, now: f64, limit: f64, rng: &mut Rand64) -> bool {
-        self.advance(now);
+    fn fits_soft_limit(&mut self, now_s: f64, limit: f64, rng: &mut Rand64) -> bool {
+        self.advance(now_s);
         self.first_bucket.get_or_insert(self.current_bucket);
         if self.current_bucket >= self.threshold_redraw_bucket {
             (self.admission_threshold, self.threshold_redraw_bucket) =
@@ -289,16 +289,16 @@
         self.observed_window_s() * limit - f64::from(self.window_counts.accepted) > self.admission_threshold
     }
 
-    /// Decides whether to accept a call; the caller then counts it with [`Self::record`].
-    fn admit(&mut self, now: f64, limit: &LearnedLimit, rng: &mut Rand64) -> bool {
-        let fits_soft_limit = self.fits_soft_limit(now, limit.rate, rng);
+    /// Decides whether to accept a call; the caller then counts it with [`Self::record_call`].
+    fn admit(&mut self, now_s: f64, limit: &LearnedLimit, rng: &mut Rand64) -> bool {
+        let fits_soft_limit = self.fits_soft_limit(now_s, limit.rate, rng);
         let hard_limit = limit.rate.max(limit.full_rate) * HARD_LIMIT_FACTOR;
         let under_hard_limit = f64::from(self.window_counts.total) < self.observed_window_s() * hard_limit;
         under_hard_limit && (fits_soft_limit || rng.rand_float() >= self.suppression_probability(limit.rate))
     }
 
     /// Counts a call. After an accepted call, the next one draws a new threshold.
-    fn record(&mut self, admitted: bool) {
+    fn record_call(&mut self, admitted: bool) {
         let bucket = &mut self.buckets[(self.current_bucket % WINDOW_BUCKETS as u64) as usize];
         bucket.total += 1;
         self.window_counts.total += 1;
@@ -442,7 +442,7 @@
 }
 
 /// A uniformly distributed random number.
-fn uniform(rng: &mut Rand64, range: Range<f64>) -> f64 {
+fn uniform_random(rng: &mut Rand64, range: Range<f64>) -> f64 {
     range.start + (range.end - range.start) * rng.rand_float()
 }
 
@@ -471,7 +471,7 @@
 #[derive(Debug, Default)]
 struct ZoneGroup {
     /// The slots of the upstreams.
-    members: Arc<[usize]>,
+    member_slots: Arc<[usize]>,
     /// The moving average of the sends per second to each upstream that is not in slow start; those in slow
     /// start get a fraction of it.
     warm_send_rate: f64,
@@ -494,13 +494,13 @@
                 + LOCAL_LATENCY_TOLERANCE
                 + cross_zone_cost * LOCAL_LATENCY_TOLERANCE_PER_COST;
         let step = if local_is_slower { -LOCAL_SHARE_DECREASE } else { LOCAL_SHARE_INCREASE };
-        *local_share = (*local_share + step * uniform(rng, LOCAL_SHARE_STEP_JITTER))
+        *local_share = (*local_share + step * uniform_random(rng, LOCAL_SHARE_STEP_JITTER))
             .clamp(self.local_upstream_fraction, 1.0);
     }
 
     /// Number of upstreams in the subset.
     fn size(&self) -> usize {
-        self.local.members.len() + self.remote.members.len()
+        self.local.member_slots.len() + self.remote.member_slots.len()
     }
 }
 
@@ -511,7 +511,7 @@
     let (count, replicas) = (slots.len(), u64::from(settings.replica_count));
     let size = (count as f64 * REPLICAS_PER_UPSTREAM / sharing_replicas.max(1.0)).ceil() as usize;
     let mut stride = (replicas as f64 * INVERSE_GOLDEN_RATIO).round().max(1.0) as u64;
-    while gcd(stride, replicas) != 1 {
+    while greatest_common_divisor(stride, replicas) != 1 {
         stride += 1;
     }
     let position = u64::from(settings.replica_index) * stride % replicas;
@@ -521,8 +521,8 @@
 }
 
 /// The greatest common divisor; a stride coprime to the number of replicas gives each its own position.
-fn gcd(a: u64, b: u64) -> u64 {
-    if b == 0 { a } else { gcd(b, a % b) }
+fn greatest_common_divisor(a: u64, b: u64) -> u64 {
+    if b == 0 { a } else { greatest_common_divisor(b, a % b) }
 }
 
 // --- 4. Upstream health ---
@@ -541,9 +541,9 @@
     /// Estimated number of open connections to it.
     connections: u32,
     /// When a connection to it was last used.
-    last_used: f64,
+    last_used_at_s: f64,
     /// When it last responded, or when the first attempt after an idle time was sent.
-    last_response: f64,
+    last_response_at_s: f64,
     /// The moving average of its failures, 0 to 1.
     failure_rate: f64,
     /// Failed connects since its last response; time-outs neither add to nor reset it.
@@ -553,46 +553,46 @@
     /// Number of latencies that `slowness` was computed from.
     latency_samples: f64,
     /// Until when outlier ejection excludes it.
-    ejected_until: f64,
+    ejected_until_s: f64,
     /// The duration of its next ejection, in seconds, before jitter.
     next_ejection_s: f64,
     /// The factor on its selection probability after its return from ejection, up to 1.
     return_probability: f64,
     /// When the latest request that it has accepted was sent.
-    last_accepted_send: Option<f64>,
+    last_accepted_send_s: Option<f64>,
     /// Number of attempts that it may be sent while in slow start.
     slow_start_tokens: f64,
     /// When the tokens were last refilled.
-    tokens_updated_at: f64,
+    tokens_updated_at_s: f64,
 }
 
 impl Upstream {
-    fn new(member: Member, now: f64, rng: &mut Rand64) -> Self {
+    fn new(member: Member, now_s: f64, rng: &mut Rand64) -> Self {
         Self {
             member,
             listed: true,
             is_local: false,
             in_flight: 0,
             connections: 0,
-            last_used: now,
-            last_response: now,
+            last_used_at_s: now_s,
+            last_response_at_s: now_s,
             failure_rate: 0.0,
             consecutive_connect_failures: 0,
             slowness: 1.0,
             latency_samples: 0.0,
-            ejected_until: 0.0,
+            ejected_until_s: 0.0,
             next_ejection_s: INITIAL_EJECTION_S,
             return_probability: 1.0,
-            last_accepted_send: None,
+            last_accepted_send_s: None,
             slow_start_tokens: rng.rand_float(),
-            tokens_updated_at: now,
+            tokens_updated_at_s: now_s,
         }
     }
 
     /// Discards what was learned of an upstream whose process has restarted.
-    fn reset_after_restart(&mut self, now: f64, rng: &mut Rand64) {
+    fn reset_after_restart(&mut self, now_s: f64, rng: &mut Rand64) {
         let (in_flight, is_local) = (self.in_flight, self.is_local);
-        *self = Self { in_flight, is_local, ..Self::new(self.member, now, rng) };
+        *self = Self { in_flight, is_local, ..Self::new(self.member, now_s, rng) };
     }
 
     /// Whether the list contains it as ready.
@@ -602,33 +602,34 @@
 
     /// The fraction of its capacity that it is certain to have: in slow start it rises at least linearly from
     /// the minimum fraction.
-    fn slow_start_fraction(&self, now: f64, settings: &Settings) -> f64 {
+    fn slow_start_fraction(&self, now_s: f64, settings: &Settings) -> f64 {
         let Some(started) = self.member.started_at else { return 1.0 };
-        let age = (now - started.as_secs_f64()).max(0.0);
+        let age_s = (now_s - started.as_secs_f64()).max(0.0);
         let Rules { slow_start_min_fraction: min_fraction, slow_start_duration: duration, .. } =
             settings.rules;
-        (min_fraction + (1.0 - min_fraction) * age / duration.as_secs_f64().max(1e-6)).min(1.0)
+        (min_fraction + (1.0 - min_fraction) * age_s / duration.as_secs_f64().max(1e-6)).min(1.0)
     }
 
     /// Whether it is neither ejected nor stalled, given the typical latency of the calls to send.
-    fn is_healthy(&self, now: f64, typical_latency_s: f64) -> bool {
+    fn is_healthy(&self, now_s: f64, typical_latency_s: f64) -> bool {
         let stalled = self.in_flight > 0
-            && now - self.last_response > (typical_latency_s * STALL_LATENCY_FACTOR).max(MIN_STALL_S);
-        self.ejected_until <= now && !stalled
+            && now_s - self.last_response_at_s > (typical_latency_s * STALL_LATENCY_FACTOR).max(MIN_STALL_S);
+        self.ejected_until_s <= now_s && !stalled
     }
 
     /// Whether an open connection has a free stream for another attempt.
-    fn has_stream_capacity(&self, now: f64, capabilities: &Capabilities) -> bool {
+    fn has_stream_capacity(&self, now_s: f64, capabilities: &Capabilities) -> bool {
         let max_streams = self.connections.saturating_mul(capabilities.max_concurrent_streams);
         self.in_flight < max_streams
-            && (self.in_flight > 0 || now - self.last_used < capabilities.keepalive_timeout.as_secs_f64())
+            && (self.in_flight > 0
+                || now_s - self.last_used_at_s < capabilities.keepalive_timeout.as_secs_f64())
     }
 
     /// The load that another attempt would meet: this replica's attempts in flight, and a handshake if no
     /// connection has a free stream.
-    fn selection_cost(&self, now: f64, settings: &Settings) -> f64 {
+    fn selection_cost(&self, now_s: f64, settings: &Settings) -> f64 {
         let needs_handshake =
-            settings.costs.handshake > 0.0 && !self.has_stream_capacity(now, &settings.capabilities);
+            settings.costs.handshake > 0.0 && !self.has_stream_capacity(now_s, &settings.capabilities);
         f64::from(self.in_flight) + if needs_handshake { HANDSHAKE_COST } else { 0.0 }
     }
 }
@@ -642,7 +643,7 @@
     slot: usize,
     /// The upstream's list entry when the attempt was sent.
     member: Member,
-    sent_at: f64,
+    sent_at_s: f64,
     /// The time that it may take, in seconds.
     timeout_s: f64,
     /// How it ended; `None` while it is in flight.
@@ -660,7 +661,7 @@
     /// The index of its tenant.
     tenant: usize,
     /// The time until which an answer still has a value.
-    answer_deadline: f64,
+    answer_deadline_s: f64,
     /// All its attempts, in the order sent.
     attempts: Vec<Attempt>,
     /// Number of its attempts in flight.
@@ -691,7 +692,7 @@
 /// The pending requests, and the retry budgets.
 #[derive(Debug, Default)]
 struct PendingRequests {
-    by_id: FxHashMap<RequestId, PendingRequest>,
+    pending_by_id: FxHashMap<RequestId, PendingRequest>,
     /// The budget for retries of attempts that may have been executed.
     retry_tokens: f64,
     /// The budget for retries of attempts that were certainly not executed.
@@ -709,7 +710,7 @@
 
 impl TypicalLatency {
     /// Adds the latency of a served call with this weight, which is limited and reduced under congestion.
-    fn record(&mut self, duration_s: f64, weight: f64, congested: bool) {
+    fn record_latency(&mut self, duration_s: f64, weight: f64, congested: bool) {
         self.samples += 1.0;
         let deviation = duration_s.ln() - self.ln_seconds;
         let weight = if congested { weight / CONGESTED_LEARNING_DIVISOR } else { weight }
@@ -725,7 +726,7 @@
     }
 
     /// The typical latency in seconds; 0 if it is unknown.
-    fn seconds(self) -> f64 {
+    fn latency_s(self) -> f64 {
         if self.samples > 0.0 { self.ln_seconds.exp() } else { 0.0 }
     }
 }
@@ -738,7 +739,7 @@
     /// Whether it has delivered a list since it was opened.
     subscribed: bool,
     /// When to open it next, unless it delivers a list before.
-    retry_at: f64,
+    retry_at_s: f64,
     /// The present backoff between failed subscriptions.
     backoff_s: f64,
 }
@@ -765,7 +766,7 @@
     /// The same of the calls that were served.
     served_congestion: f64,
     /// The earliest time at which congestion may decrease the limits again.
-    next_decrease_at: f64,
+    next_decrease_at_s: f64,
     /// The moving average of the failures of all upstreams, 0 to 1.
     tier_failure_rate: f64,
     /// The moving average of the slowness of all upstreams.
@@ -806,7 +807,7 @@
             ready_slots: Vec::new(),
             congestion: 0.0,
             served_congestion: 0.0,
-            next_decrease_at: 0.0,
+            next_decrease_at_s: 0.0,
             tier_failure_rate: 0.0,
             tier_slowness: 1.0,
             machine_type_slowness: FxHashMap::default(),
@@ -825,49 +826,49 @@
 
     /// Processes an event and appends the resulting actions to `actions`.
     pub fn handle(&mut self, now: Timestamp, event: Event, actions: &mut Vec<Action>) {
-        let now = now.as_secs_f64();
+        let now_s = now.as_secs_f64();
         match event {
             Event::Started => {
                 actions.push(Action::SetTimer(Duration::from_secs_f64(PERIODIC_UPDATE_INTERVAL_S)));
-                self.list_trust = ListTrust::new(now, self.settings.discovery, &self.settings.rules);
-                self.subscribe(now, actions);
+                self.list_trust = ListTrust::new(now_s, self.settings.discovery, &self.settings.rules);
+                self.subscribe(now_s, actions);
             }
             Event::DiscoveryMoved => {
-                self.list_trust.discovery_moved(now);
-                self.resubscribe(now, actions);
+                self.list_trust.discovery_moved(now_s);
+                self.resubscribe(now_s, actions);
             }
-            Event::SettingsChanged(settings) => self.apply_settings(now, *settings, actions),
+            Event::SettingsChanged(settings) => self.apply_settings(now_s, *settings, actions),
             Event::Discovery(update) => {
                 if matches!(update, DiscoveryUpdate::Full(_) | DiscoveryUpdate::Incremental(_)) {
                     self.subscription =
                         DiscoverySubscription { subscribed: true, ..DiscoverySubscription::default() };
                     self.list_trust.subscription_confirmed();
                 }
-                self.apply_discovery_update(now, update, actions);
+                self.apply_discovery_update(now_s, update, actions);
             }
-            Event::FormerDiscovery(update) => self.apply_discovery_update(now, update, actions),
-            Event::Request(request) => self.receive_request(now, request, actions),
+            Event::FormerDiscovery(update) => self.apply_discovery_update(now_s, update, actions),
+            Event::Request(request) => self.receive_request(now_s, request, actions),
             Event::ResponseStarted { request, attempt } => {
-                let Some(pending) = self.requests.by_id.get_mut(&request) else { return };
+                let Some(pending) = self.requests.pending_by_id.get_mut(&request) else { return };
                 pending.response_started = true;
                 if self.settings.capabilities.cancellation {
                     pending.cancel_attempts(request, Some(attempt), actions);
                 }
             }
-            Event::AttemptEnded(ended) => self.attempt_ended(now, ended, actions),
+            Event::AttemptEnded(ended) => self.attempt_ended(now_s, ended, actions),
             Event::RequestAbandoned(request) => self.close_request(request, actions),
-            Event::TimerFired => self.periodic_update(now, actions),
+            Event::TimerFired => self.periodic_update(now_s, actions),
             Event::ProbeEnded { .. } | Event::PeerMessage { .. } => {}
         }
     }
 
     /// Replaces the settings. What was learned and the pending requests are kept; settings that are not a
     /// valid replacement are ignored.
-    fn apply_settings(&mut self, now: f64, settings: Settings, actions: &mut Vec<Action>) {
+    fn apply_settings(&mut self, now_s: f64, settings: Settings, actions: &mut Vec<Action>) {
         if settings.validate_replacement_of(&self.settings).is_err() {
             return;
         }
-        for pending in self.requests.by_id.values_mut() {
+        for pending in self.requests.pending_by_id.values_mut() {
             // A pending request whose class changes its idempotency must not be executed twice under either
             // rule.
             let class_index = pending.class.0;
@@ -896,28 +897,28 @@
         self.list_trust = if settings.discovery == self.settings.discovery {
             self.list_trust.with_rules(&settings.rules)
         } else {
-            ListTrust::new(now, settings.discovery, &settings.rules)
+            ListTrust::new(now_s, settings.discovery, &settings.rules)
         };
         self.settings = settings;
         self.rebuild_subset(actions);
         if must_resubscribe {
-            self.resubscribe(now, actions);
+            self.resubscribe(now_s, actions);
         }
     }
 
     // --- Discovery ---
 
     /// Opens a new subscription at once, without a backoff.
-    fn resubscribe(&mut self, now: f64, actions: &mut Vec<Action>) {
+    fn resubscribe(&mut self, now_s: f64, actions: &mut Vec<Action>) {
         self.subscription = DiscoverySubscription::default();
-        self.subscribe(now, actions);
+        self.subscribe(now_s, actions);
     }
 
     /// Opens a subscription, if this site has them.
-    fn subscribe(&mut self, now: f64, actions: &mut Vec<Action>) {
+    fn subscribe(&mut self, now_s: f64, actions: &mut Vec<Action>) {
         if self.settings.discovery == DiscoveryMode::Subscribe {
             actions.push(Action::SubscribeToDiscovery);
-            self.subscription.retry_at = now + self.subscribe_wait_s();
+            self.subscription.retry_at_s = now_s + self.subscribe_wait_s();
         }
     }
 
@@ -932,7 +933,7 @@
     }
 
     /// Updates the upstreams from a list, or the trust in the list and the backoff after a failure.
-    fn apply_discovery_update(&mut self, now: f64, update: DiscoveryUpdate, actions: &mut Vec<Action>) {
+    fn apply_discovery_update(&mut self, now_s: f64, update: DiscoveryUpdate, actions: &mut Vec<Action>) {
         if matches!(update, DiscoveryUpdate::Full(_) | DiscoveryUpdate::Stale(_)) {
             self.upstreams.iter_mut().for_each(|(_, upstream)| upstream.listed = false);
         }
@@ -940,10 +941,10 @@
             DiscoveryUpdate::Failed | DiscoveryUpdate::TimedOut(_) | DiscoveryUpdate::Unreachable => {
                 match update {
                     DiscoveryUpdate::TimedOut(silence) => {
-                        self.list_trust.subscription_timed_out(now, silence, &self.settings.rules);
+                        self.list_trust.subscription_timed_out(now_s, silence, &self.settings.rules);
                     }
-                    DiscoveryUpdate::Unreachable => self.list_trust.discovery_unreachable(now),
-                    _ => self.list_trust.subscription_lost(now, &self.settings.rules),
+                    DiscoveryUpdate::Unreachable => self.list_trust.discovery_unreachable(now_s),
+                    _ => self.list_trust.subscription_lost(now_s, &self.settings.rules),
                 }
                 // Replicas whose calls fail together must not all retry at the same moment. Pushed lists
                 // count as delivered even without a subscription, so a subscription that was up is reopened
@@ -957,21 +958,21 @@
                     .settings
                     .rules
                     .max_poll_interval
-                    .map_or(0.0, |_| uniform(&mut self.rng, RESUBSCRIBE_JITTER));
+                    .map_or(0.0, |_| uniform_random(&mut self.rng, RESUBSCRIBE_JITTER));
                 self.subscription = DiscoverySubscription {
                     subscribed: false,
-                    retry_at: now + backoff_s * jitter,
+                    retry_at_s: now_s + backoff_s * jitter,
                     backoff_s,
                 };
                 if resubscribe_now {
-                    self.subscribe(now, actions);
+                    self.subscribe(now_s, actions);
                 }
             }
             DiscoveryUpdate::Full(members)
             | DiscoveryUpdate::Stale(members)
             | DiscoveryUpdate::Incremental(members) => {
                 for member in members {
-                    self.apply_member(now, member);
+                    self.apply_member(now_s, member);
                 }
                 self.rebuild_subset(actions);
             }
@@ -979,17 +980,17 @@
     }
 
     /// Adds or updates the upstream of a list entry.
-    fn apply_member(&mut self, now: f64, member: Member) {
+    fn apply_member(&mut self, now_s: f64, member: Member) {
         if let Some(&slot) = self.slot_by_id.get(&member.id) {
             let upstream = &mut self.upstreams[slot];
             let restarted = upstream.member.started_at != member.started_at;
             upstream.member = member;
             upstream.listed = member.phase != Phase::Gone;
             if restarted {
-                upstream.reset_after_restart(now, &mut self.rng);
+                upstream.reset_after_restart(now_s, &mut self.rng);
             }
         } else if member.phase != Phase::Gone {
-            let slot = self.upstreams.insert(Upstream::new(member, now, &mut self.rng));
+            let slot = self.upstreams.insert(Upstream::new(member, now_s, &mut self.rng));
             self.slot_by_id.insert(member.id, slot);
         }
     }
@@ -1024,17 +1025,17 @@
             1.0
         });
         let replicas = f64::from(self.settings.replica_count);
-        self.subset.local.members =
+        self.subset.local.member_slots =
             ring_subset(&self.settings, replicas / self.settings.zone_count as f64, &local);
-        self.subset.remote.members = ring_subset(&self.settings, replicas, &remote);
+        self.subset.remote.member_slots = ring_subset(&self.settings, replicas, &remote);
     }
 
     // --- Handling a request ---
 
     /// Admits a new request and sends its first attempt, or ends it unserved.
-    fn receive_request(&mut self, now: f64, request: Request, actions: &mut Vec<Action>) {
+    fn receive_request(&mut self, now_s: f64, request: Request, actions: &mut Vec<Action>) {
         // An id in use or an unknown class is an error of the embedding program.
-        if self.requests.by_id.contains_key(&request.id) {
+        if self.requests.pending_by_id.contains_key(&request.id) {
             return;
         }
         let Some(class) = self.settings.classes.get(request.class.0) else {
@@ -1042,8 +1043,8 @@
         };
         let tenant = request.tenant.map_or(0, |TenantId(tenant)| tenant);
         let tenant = tenant.min(self.settings.tenants.len().saturating_sub(1));
-        let (target_time, deadline) =
-            (now + class.latency_target.as_secs_f64(), now + request.time_left.as_secs_f64());
+        let (target_time_s, deadline_s) =
+            (now_s + class.latency_target.as_secs_f64(), now_s + request.time_left.as_secs_f64());
         // If deadlines are not propagated, a server would go on working for a client that has long given up,
         // so attempts end at the latency target.
         let deadline_unknown = self.settings.tier > 0 && !self.settings.propagates_deadline;
@@ -1051,18 +1052,18 @@
             class: request.class,
             idempotency: class.idempotency,
             tenant,
-            answer_deadline: if class.late_value > 0.0 && !deadline_unknown {
-                deadline
+            answer_deadline_s: if class.late_value > 0.0 && !deadline_unknown {
+                deadline_s
             } else {
-                deadline.min(target_time)
+                deadline_s.min(target_time_s)
             },
             attempts: Vec::new(),
             in_flight: 0,
             ended: false,
             response_started: false,
         };
-        self.requests.by_id.insert(request.id, pending);
-        if !self.admit(now, tenant) {
+        self.requests.pending_by_id.insert(request.id, pending);
+        if !self.admit(now_s, tenant) {
             return self.end_unserved(request.id, UnservedReason::Suppressed, actions);
         }
         // Only admitted calls add to the retry budgets: a flood of denied calls must not pay for retries.
@@ -1070,7 +1071,7 @@
             (self.requests.retry_tokens + RETRY_TOKENS_PER_REQUEST).min(MAX_RETRY_TOKENS);
         self.requests.reroute_tokens =
             (self.requests.reroute_tokens + REROUTE_TOKENS_PER_REQUEST).min(MAX_REROUTE_TOKENS);
-        if !self.pick_and_send(now, request.id, actions) {
+        if !self.pick_and_send(now_s, request.id, actions) {
             self.end_unserved(request.id, UnservedReason::NoUpstream, actions);
         }
     }
@@ -1078,36 +1079,36 @@
     /// Whether a call of this tenant is admitted. A tenant above its fair share must also fit under the limit
     /// that all tenants of this replica share: the margins for random variation of many small limits would
     /// add up, over all replicas, to more than the tier can serve.
-    fn admit(&mut self, now: f64, tenant: usize) -> bool {
+    fn admit(&mut self, now_s: f64, tenant: usize) -> bool {
         let Self { suppressors, limits, rng, subset: Subset { capacity_fraction, .. }, .. } = self;
         let shared_index = limits.len() - 1;
         // A tenant within its own fraction of the shared limit does not depend on what the others send.
         let shared_rate = limits[shared_index].rate * *capacity_fraction;
         let scale = (shared_rate / limits[shared_index].fair_share).min(1.0);
         let within_fair_share =
-            suppressors[tenant].fits_soft_limit(now, limits[tenant].fair_share * scale, rng);
-        let mut admitted = suppressors[tenant].admit(now, &limits[tenant], rng);
+            suppressors[tenant].fits_soft_limit(now_s, limits[tenant].fair_share * scale, rng);
+        let mut admitted = suppressors[tenant].admit(now_s, &limits[tenant], rng);
         if admitted && shared_index != tenant {
             // After a decrease the window still holds the calls accepted under the old limit. If the window
             // alone decided, all calls would be denied for seconds.
-            let shared_room = suppressors[shared_index].fits_soft_limit(now, shared_rate, rng)
+            let shared_room = suppressors[shared_index].fits_soft_limit(now_s, shared_rate, rng)
                 || suppressors[shared_index].last_second_count(|bucket| bucket.accepted) < shared_rate;
             admitted = within_fair_share || shared_room;
-            suppressors[shared_index].record(admitted);
+            suppressors[shared_index].record_call(admitted);
         }
-        suppressors[tenant].record(admitted);
+        suppressors[tenant].record_call(admitted);
         admitted
     }
 
     /// Sends an attempt to a picked upstream; returns whether one was sent.
-    fn pick_and_send(&mut self, now: f64, id: RequestId, actions: &mut Vec<Action>) -> bool {
-        self.pick_upstream(now, id).is_some_and(|slot| self.send(now, id, slot, actions))
+    fn pick_and_send(&mut self, now_s: f64, id: RequestId, actions: &mut Vec<Action>) -> bool {
+        self.pick_upstream(now_s, id).is_some_and(|slot| self.send(now_s, id, slot, actions))
     }
 
     /// Picks an upstream for a request. If the request may have been executed and is deduplicated only within
     /// a zone or cell, it picks one that shares that record; otherwise it picks by zone.
-    fn pick_upstream(&mut self, now: f64, id: RequestId) -> Option<usize> {
-        let pending = self.requests.by_id.get(&id)?;
+    fn pick_upstream(&mut self, now_s: f64, id: RequestId) -> Option<usize> {
+        let pending = self.requests.pending_by_id.get(&id)?;
         let (idempotency, first_possibly_executed) = (pending.idempotency, pending.first_possibly_executed());
         if first_possibly_executed.is_none()
             || !matches!(
@@ -1115,38 +1116,38 @@
                 Idempotency::Deduplicated { scope: DedupScope::Zone | DedupScope::Cell, .. }
             )
         {
-            return self.pick_by_zone(now, id);
+            return self.pick_by_zone(now_s, id);
         }
         let allowed = |&&slot: &&usize| {
-            may_send_again(now, idempotency, first_possibly_executed, &self.upstreams[slot].member)
+            may_send_again(now_s, idempotency, first_possibly_executed, &self.upstreams[slot].member)
         };
         let members: Vec<usize> = self.ready_slots.iter().filter(allowed).copied().collect();
-        self.pick_less_busy(now, id, &members)
+        self.pick_less_busy(now_s, id, &members)
     }
 
     /// Picks from the local zone or, with the probability that the local share leaves, from the other zones;
     /// then from the zones not chosen; then any upstream that may be sent to.
-    fn pick_by_zone(&mut self, now: f64, id: RequestId) -> Option<usize> {
-        let local = Arc::clone(&self.subset.local.members);
-        let remote = Arc::clone(&self.subset.remote.members);
+    fn pick_by_zone(&mut self, now_s: f64, id: RequestId) -> Option<usize> {
+        let local = Arc::clone(&self.subset.local.member_slots);
+        let remote = Arc::clone(&self.subset.remote.member_slots);
         let pick_local = remote.is_empty()
             || (!local.is_empty() && self.rng.rand_float() < self.subset.local_share.unwrap_or(1.0));
         let (preferred, other) = if pick_local { (&local, &remote) } else { (&remote, &local) };
-        self.pick_less_busy(now, id, preferred)
-            .or_else(|| self.pick_less_busy(now, id, other))
-            .or_else(|| self.pick_any_allowed(now, id, preferred))
-            .or_else(|| self.pick_any_allowed(now, id, other))
+        self.pick_less_busy(now_s, id, preferred)
+            .or_else(|| self.pick_less_busy(now_s, id, other))
+            .or_else(|| self.pick_any_allowed(now_s, id, preferred))
+            .or_else(|| self.pick_any_allowed(now_s, id, other))
     }
 
     /// Power of two choices: the less busy of two random upstreams, by this replica's attempts in flight. If
     /// both are busier than the average of the subset, another two are drawn, up to [`MAX_PAIRS`] times: many
     /// replicas that each see few calls would otherwise overload a server by chance.
-    fn pick_less_busy(&mut self, now: f64, id: RequestId, slots: &[usize]) -> Option<usize> {
+    fn pick_less_busy(&mut self, now_s: f64, id: RequestId, slots: &[usize]) -> Option<usize> {
         let mut best: Option<usize> = None;
         let average = f64::from(self.subset.in_flight) / self.subset.size().max(1) as f64;
         for _ in 0..MAX_PAIRS {
-            let pair = [self.draw_candidate(now, id, slots), self.draw_candidate(now, id, slots)];
-            let cost = |slot: &usize| self.upstreams[*slot].selection_cost(now, &self.settings);
+            let pair = [self.draw_candidate(now_s, id, slots), self.draw_candidate(now_s, id, slots)];
+            let cost = |slot: &usize| self.upstreams[*slot].selection_cost(now_s, &self.settings);
             let drawn = best.into_iter().chain(pair.into_iter().flatten());
             best = drawn.min_by(|one, other| cost(one).total_cmp(&cost(other)));
             if best.is_none_or(|best| cost(&best) <= average) {
@@ -1158,25 +1159,26 @@
 
     /// Draws up to [`MAX_DRAWS`] random slots until one is accepted, with a probability that depends on its
     /// upstream's weight, slow start, return from ejection and slowness.
-    fn draw_candidate(&mut self, now: f64, id: RequestId, slots: &[usize]) -> Option<usize> {
-        let typical_latency_s = self.typical_latencies[self.requests.by_id.get(&id)?.class.0].seconds();
+    fn draw_candidate(&mut self, now_s: f64, id: RequestId, slots: &[usize]) -> Option<usize> {
+        let typical_latency_s =
+            self.typical_latencies[self.requests.pending_by_id.get(&id)?.class.0].latency_s();
         if slots.is_empty() {
             return None;
         }
         for _ in 0..MAX_DRAWS {
             let slot = slots[self.rng.rand_range(0..slots.len() as u64) as usize];
             let upstream = &self.upstreams[slot];
-            if !upstream.is_healthy(now, typical_latency_s)
-                || !self.list_trust.allows_send(now, upstream.last_accepted_send)
+            if !upstream.is_healthy(now_s, typical_latency_s)
+                || !self.list_trust.allows_send(now_s, upstream.last_accepted_send_s)
                 || self.requests.already_tried(id, upstream.member.id)
             {
                 continue;
             }
             let probability = upstream.member.weight / self.max_weight
-                * upstream.slow_start_fraction(now, &self.settings)
+                * upstream.slow_start_fraction(now_s, &self.settings)
                 * upstream.return_probability
                 * (self.tier_slowness / self.slowness(upstream)).powi(2).clamp(MIN_SLOWNESS_FACTOR, 1.0);
-            if self.rng.rand_float() < probability && self.slow_start_allows(now, slot) {
+            if self.rng.rand_float() < probability && self.slow_start_allows(now_s, slot) {
                 return Some(slot);
             }
         }
@@ -1192,24 +1194,24 @@
     }
 
     /// The least busy upstream that may be sent to at all, for when the random draws found none.
-    fn pick_any_allowed(&mut self, now: f64, id: RequestId, slots: &[usize]) -> Option<usize> {
+    fn pick_any_allowed(&mut self, now_s: f64, id: RequestId, slots: &[usize]) -> Option<usize> {
         let is_allowed = |&slot: &usize| {
             let upstream = &self.upstreams[slot];
-            self.list_trust.allows_send(now, upstream.last_accepted_send)
+            self.list_trust.allows_send(now_s, upstream.last_accepted_send_s)
                 && !self.requests.already_tried(id, upstream.member.id)
         };
         let mut remaining: Vec<usize> = slots.iter().copied().filter(is_allowed).collect();
         remaining.sort_by_key(|&slot| self.upstreams[slot].in_flight);
-        remaining.into_iter().find(|&slot| self.slow_start_allows(now, slot))
+        remaining.into_iter().find(|&slot| self.slow_start_allows(now_s, slot))
     }
 
     /// Whether an upstream in slow start has a token for another attempt; others always do. Its tokens arrive
     /// at the rate at which this replica sends to an upstream not in slow start, times the fraction of its
     /// capacity that it is certain to have. The sum over all replicas stays within its capacity, whoever else
     /// sends to it.
-    fn slow_start_allows(&mut self, now: f64, slot: usize) -> bool {
+    fn slow_start_allows(&mut self, now_s: f64, slot: usize) -> bool {
         let upstream = &mut self.upstreams[slot];
-        let slow_start_fraction = upstream.slow_start_fraction(now, &self.settings);
+        let slow_start_fraction = upstream.slow_start_fraction(now_s, &self.settings);
         if slow_start_fraction >= 1.0 {
             return true;
         }
@@ -1217,59 +1219,64 @@
         let rate = slow_start_fraction * group.warm_send_rate;
         let max_tokens = 1.0 + rate * SLOW_START_BURST_S;
         upstream.slow_start_tokens =
-            (upstream.slow_start_tokens + rate * (now - upstream.tokens_updated_at)).min(max_tokens);
-        upstream.tokens_updated_at = now;
+            (upstream.slow_start_tokens + rate * (now_s - upstream.tokens_updated_at_s)).min(max_tokens);
+        upstream.tokens_updated_at_s = now_s;
         upstream.slow_start_tokens >= 1.0
     }
 
     /// Sends an attempt. Every attempt passes this ONE function, which enforces the rules on repeated
     /// execution, draining upstreams and slow start.
-    fn send(&mut self, now: f64, id: RequestId, slot: usize, actions: &mut Vec<Action>) -> bool {
-        if !self.slow_start_allows(now, slot) {
+    fn send(&mut self, now_s: f64, id: RequestId, slot: usize, actions: &mut Vec<Action>) -> bool {
+        if !self.slow_start_allows(now_s, slot) {
             return false;
         }
-        let Some(pending) = self.requests.by_id.get_mut(&id) else { return false };
+        let Some(pending) = self.requests.pending_by_id.get_mut(&id) else { return false };
         let upstream = &mut self.upstreams[slot];
         // An attempt that timed out at the deadline must not be sent again because of a rounding difference.
-        let timeout = pending.answer_deadline - now;
+        let timeout_s = pending.answer_deadline_s - now_s;
         if pending.ended
             || pending.response_started
-            || timeout < MIN_ATTEMPT_TIMEOUT_S
+            || timeout_s < MIN_ATTEMPT_TIMEOUT_S
             || !upstream.is_usable()
-            || !self.list_trust.allows_send(now, upstream.last_accepted_send)
+            || !self.list_trust.allows_send(now_s, upstream.last_accepted_send_s)
             || pending.attempts.len() >= self.settings.capabilities.max_attempts as usize
             || (pending.in_flight > 0 && !self.settings.capabilities.hedging)
-            || !may_send_again(now, pending.idempotency, pending.first_possibly_executed(), &upstream.member)
+            || !may_send_again(
+                now_s,
+                pending.idempotency,
+                pending.first_possibly_executed(),
+                &upstream.member,
+            )
         {
             return false;
         }
         // If the connection opens after the deduplication window, the request could be executed again.
-        let start_within = match (pending.idempotency, pending.first_possibly_executed()) {
+        let start_within_s = match (pending.idempotency, pending.first_possibly_executed()) {
             (Idempotency::Deduplicated { window, .. }, Some(first_possibly_executed)) => {
-                first_possibly_executed.sent_at + window.as_secs_f64() - now
+                first_possibly_executed.sent_at_s + window.as_secs_f64() - now_s
             }
-            _ => timeout,
+            _ => timeout_s,
         };
         // Nor may the connection open after the list has ceased to be valid for this upstream, which could
         // have begun to drain without this replica's knowledge.
-        let trusted_for = self
+        let trusted_for_s = self
             .list_trust
-            .sends_allowed_until(upstream.last_accepted_send)
-            .map_or(start_within, |until| until - now);
-        let start_within = start_within.min(trusted_for);
-        self.list_trust.record_use(now);
+            .sends_allowed_until_s(upstream.last_accepted_send_s)
+            .map_or(start_within_s, |until_s| until_s - now_s);
+        let start_within_s = start_within_s.min(trusted_for_s);
+        self.list_trust.record_use(now_s);
         if upstream.in_flight == 0 {
-            upstream.last_response = now;
+            upstream.last_response_at_s = now_s;
         }
-        if !upstream.has_stream_capacity(now, &self.settings.capabilities) {
+        if !upstream.has_stream_capacity(now_s, &self.settings.capabilities) {
             let open_connections = if upstream.in_flight > 0 { upstream.connections } else { 0 };
             upstream.connections = open_connections + 1;
         }
-        upstream.last_used = now;
+        upstream.last_used_at_s = now_s;
         upstream.in_flight += 1;
         self.subset.in_flight += 1;
         let group = if upstream.is_local { &mut self.subset.local } else { &mut self.subset.remote };
-        if upstream.slow_start_fraction(now, &self.settings) < 1.0 {
+        if upstream.slow_start_fraction(now_s, &self.settings) < 1.0 {
             upstream.slow_start_tokens -= 1.0;
         } else {
             group.warm_sends += 1;
@@ -1278,14 +1285,14 @@
         pending.attempts.push(Attempt {
             slot,
             member,
-            sent_at: now,
-            timeout_s: timeout,
+            sent_at_s: now_s,
+            timeout_s,
             outcome: None,
             cancelled: false,
         });
         pending.in_flight += 1;
-        let timeout = Some(Duration::from_secs_f64(timeout));
-        let start_within = Duration::from_secs_f64(start_within.max(0.0));
+        let timeout = Some(Duration::from_secs_f64(timeout_s));
+        let start_within = Duration::from_secs_f64(start_within_s.max(0.0));
         actions.push(Action::Send { request: id, upstream: member.id, timeout, start_within });
         true
     }
@@ -1293,7 +1300,9 @@
     /// Ends a request unserved: refused if the client may safely retry, failed otherwise. This is the ONE
     /// function that does so.
     fn end_unserved(&mut self, id: RequestId, reason: UnservedReason, actions: &mut Vec<Action>) {
-        let Some(pending) = self.requests.by_id.get(&id).filter(|pending| !pending.ended) else { return };
+        let Some(pending) = self.requests.pending_by_id.get(&id).filter(|pending| !pending.ended) else {
+            return;
+        };
         let safe_to_retry = pending.first_possibly_executed().is_none()
             || matches!(
                 pending.idempotency,
@@ -1311,21 +1320,21 @@
 
     /// Marks a request as ended and cancels its attempts in flight.
     fn close_request(&mut self, id: RequestId, actions: &mut Vec<Action>) {
-        let Some(pending) = self.requests.by_id.get_mut(&id) else { return };
+        let Some(pending) = self.requests.pending_by_id.get_mut(&id) else { return };
         pending.ended = true;
         if self.settings.capabilities.cancellation && !pending.response_started {
             pending.cancel_attempts(id, None, actions);
         }
         if pending.in_flight == 0 {
-            self.requests.by_id.remove(&id);
+            self.requests.pending_by_id.remove(&id);
         }
     }
 
     /// Records the end of an attempt, then retries the request or ends it if nothing else is in flight.
-    fn attempt_ended(&mut self, now: f64, ended: AttemptEnded, actions: &mut Vec<Action>) {
+    fn attempt_ended(&mut self, now_s: f64, ended: AttemptEnded, actions: &mut Vec<Action>) {
         let AttemptEnded { request: id, attempt: number, outcome, request_ended, .. } = ended;
         let duration_s = ended.duration.as_secs_f64();
-        let Some(pending) = self.requests.by_id.get_mut(&id) else { return };
+        let Some(pending) = self.requests.pending_by_id.get_mut(&id) else { return };
         let attempt = pending.attempts.get_mut(number.0 as usize).filter(|attempt| attempt.outcome.is_none());
         let Some(attempt) = attempt else { return };
         let slot = attempt.slot;
@@ -1335,28 +1344,30 @@
         let (class, tenant, timeout_s) = (pending.class, pending.tenant, attempt.timeout_s);
         if matches!(outcome, Outcome::Good | Outcome::Error) {
             let upstream = &mut self.upstreams[slot];
-            upstream.last_accepted_send = Some(
-                upstream.last_accepted_send.map_or(attempt.sent_at, |accepted| accepted.max(attempt.sent_at)),
+            upstream.last_accepted_send_s = Some(
+                upstream
+                    .last_accepted_send_s
+                    .map_or(attempt.sent_at_s, |accepted| accepted.max(attempt.sent_at_s)),
             );
         }
         // Judged by the attempt's own duration: time lost before it, on connections or on other upstreams, is
         // no sign of congestion at this upstream.
-        let late = duration_s > self.settings.classes[class.0].latency_target.as_secs_f64();
+        let missed_latency_target = duration_s > self.settings.classes[class.0].latency_target.as_secs_f64();
         let (request_ended, none_in_flight) = (pending.ended || request_ended, pending.in_flight == 0);
         // An attempt with a timeout below the typical latency fails because of its short deadline. If such
         // failures counted, one tenant's calls with short deadlines would look like congestion and deny calls
         // of all tenants.
         let short_deadline = matches!(outcome, Outcome::Error | Outcome::TimedOut)
-            && timeout_s < self.typical_latencies[class.0].seconds();
-        self.record_outcome(now, slot, class, &ended, short_deadline, actions);
+            && timeout_s < self.typical_latencies[class.0].latency_s();
+        self.record_outcome(now_s, slot, class, &ended, short_deadline, actions);
         let upstream = &self.upstreams[slot];
-        if upstream.ejected_until > now && upstream.in_flight > 0 {
+        if upstream.ejected_until_s > now_s && upstream.in_flight > 0 {
             actions.push(Action::AbortPendingConnects { upstream: upstream.member.id });
         }
         if request_ended {
             self.close_request(id, actions);
         }
-        let retried = !request_ended && none_in_flight && self.retry(now, id, outcome, actions);
+        let retried = !request_ended && none_in_flight && self.retry(now_s, id, outcome, actions);
         if none_in_flight && !retried {
             self.end_unserved(id, UnservedReason::AttemptFailed(outcome), actions);
         }
@@ -1365,17 +1376,17 @@
         // Refusals by two servers in a row are congestion.
         let repeated_refusal = outcome == Outcome::Refused && number.0 > 0;
         if !short_deadline && (repeated_refusal || !(retried && outcome.never_ran())) {
-            self.update_congestion(now, class, tenant, outcome, duration_s, late);
+            self.update_congestion(now_s, class, tenant, outcome, duration_s, missed_latency_target);
         }
     }
 
     /// Sends another attempt if the outcome and the budget allow it; returns whether one was sent.
-    fn retry(&mut self, now: f64, id: RequestId, outcome: Outcome, actions: &mut Vec<Action>) -> bool {
-        let Some(pending) = self.requests.by_id.get(&id) else { return false };
-        let worth_retrying = outcome != Outcome::NotSent && now < pending.answer_deadline;
+    fn retry(&mut self, now_s: f64, id: RequestId, outcome: Outcome, actions: &mut Vec<Action>) -> bool {
+        let Some(pending) = self.requests.pending_by_id.get(&id) else { return false };
+        let worth_retrying = outcome != Outcome::NotSent && now_s < pending.answer_deadline_s;
         let sent = worth_retrying
             && *self.requests.retry_budget(outcome) >= 1.0
-            && self.pick_and_send(now, id, actions);
+            && self.pick_and_send(now_s, id, actions);
         if sent {
             *self.requests.retry_budget(outcome) -= 1.0;
         }
@@ -1386,7 +1397,7 @@
     /// `short_deadline`, only the count of its attempts and connections.
     fn record_outcome(
         &mut self,
-        now: f64,
+        now_s: f64,
         slot: usize,
         class: ClassId,
         ended: &AttemptEnded,
@@ -1394,10 +1405,10 @@
         actions: &mut Vec<Action>,
     ) {
         let (outcome, duration_s) = (ended.outcome, ended.duration.as_secs_f64());
-        let typical_latency_s = self.typical_latencies[class.0].seconds();
+        let typical_latency_s = self.typical_latencies[class.0].latency_s();
         let upstream = &mut self.upstreams[slot];
         upstream.in_flight = upstream.in_flight.saturating_sub(1);
-        upstream.last_used = now;
+        upstream.last_used_at_s = now_s;
         // A connection is closed if it broke, or if it carries one attempt at a time and the wait for the
         // answer was given up.
         let given_up = matches!(outcome, Outcome::TimedOut | Outcome::Withdrawn);
@@ -1416,7 +1427,7 @@
         match outcome {
             Outcome::ConnectFailed => upstream.consecutive_connect_failures += 1,
             Outcome::TimedOut => {}
-            _ => (upstream.last_response, upstream.consecutive_connect_failures) = (now, 0),
+            _ => (upstream.last_response_at_s, upstream.consecutive_connect_failures) = (now_s, 0),
         }
         let unreachable = upstream.consecutive_connect_failures >= UNREACHABLE_CONNECT_FAILURES;
         upstream.failure_rate += FAILURE_EWMA_WEIGHT * (f64::from(u8::from(failed)) - upstream.failure_rate);
@@ -1454,7 +1465,7 @@
             if counts_as_late { duration_s.max(latency_target_s) } else { duration_s } / latency_target_s;
         group.relative_latency += ZONE_LATENCY_EWMA_WEIGHT * (relative_latency - group.relative_latency);
         if failed {
-            let ejected = self.eject_if_failing(now, slot, unreachable);
+            let ejected = self.eject_if_failing(now_s, slot, unreachable);
             let upstream = self.upstreams[slot].member.id;
             actions.extend(ejected.map(|duration| Action::Report(Report::Ejected { upstream, duration })));
         }
@@ -1463,12 +1474,12 @@
     /// Updates the congestion estimate from the end of a call, and the limits from the congestion.
     fn update_congestion(
         &mut self,
-        now: f64,
+        now_s: f64,
         class: ClassId,
         tenant: usize,
         outcome: Outcome,
         duration_s: f64,
-        late: bool,
+        missed_latency_target: bool,
     ) {
         let signals_congestion = match outcome {
             Outcome::Refused | Outcome::TimedOut | Outcome::ConnectFailed => true,
@@ -1476,7 +1487,7 @@
                 self.tier_failure_rate > CONGESTION_TIER_FAILURE_RATE
                     && self.served_congestion > CONGESTION_THRESHOLD
             }
-            Outcome::Good => late,
+            Outcome::Good => missed_latency_target,
             _ => return,
         };
         let sample = if signals_congestion {
@@ -1492,29 +1503,29 @@
         // All tenants share one estimate because they call the same tier, and a small tenant's own calls are
         // too few to detect overload in time.
         let shared_index = self.settings.tenants.len();
-        let rate = self.suppressors[shared_index].accepted_rate(now);
+        let rate = self.suppressors[shared_index].accepted_rate(now_s);
         let weight = (1.0 / (rate * CONGESTION_WINDOW_S)).min(MAX_CONGESTION_SAMPLE_WEIGHT);
         self.congestion += weight * (sample - self.congestion);
         let congested = self.congestion > CONGESTION_THRESHOLD;
         if outcome == Outcome::Good {
             self.served_congestion += weight * (sample - self.served_congestion);
-            self.typical_latencies[class.0].record(
+            self.typical_latencies[class.0].record_latency(
                 duration_s.max(MIN_LATENCY_S),
                 1.0 / (rate * TYPICAL_LATENCY_WINDOW_S),
                 congested,
             );
         }
-        if congested && now >= self.next_decrease_at {
-            self.next_decrease_at = now + uniform(&mut self.rng, DECREASE_INTERVAL_S);
+        if congested && now_s >= self.next_decrease_at_s {
+            self.next_decrease_at_s = now_s + uniform_random(&mut self.rng, DECREASE_INTERVAL_S);
             for (limit, suppressor) in self.limits.iter_mut().zip(&mut self.suppressors) {
-                limit.decrease(self.congestion, suppressor.accepted_rate(now));
+                limit.decrease(self.congestion, suppressor.accepted_rate(now_s));
             }
         } else if !congested && !signals_congestion && outcome == Outcome::Good {
             // A decrease applies to all limits. A tenant whose calls are all denied has none that could raise
             // its limit again, so the calls of others raise it.
             for (index, limit) in self.limits.iter_mut().enumerate() {
                 let fully_suppressed =
-                    limit.rate < limit.fair_share && self.suppressors[index].accepted_rate(now) == 0.0;
+                    limit.rate < limit.fair_share && self.suppressors[index].accepted_rate(now_s) == 0.0;
                 if index == tenant || index == shared_index || fully_suppressed {
                     limit.increase();
                 }
@@ -1524,22 +1535,25 @@
 
     /// Ejects an upstream that fails more often than the tier does; an unreachable one is ejected even if
     /// the whole tier fails or many others are ejected.
-    fn eject_if_failing(&mut self, now: f64, slot: usize, unreachable: bool) -> Option<Duration> {
+    fn eject_if_failing(&mut self, now_s: f64, slot: usize, unreachable: bool) -> Option<Duration> {
         let upstream = &self.upstreams[slot];
         let tier_margin =
             if unreachable { 0.0 } else { EJECTION_TIER_FAILURE_FACTOR * self.tier_failure_rate };
-        if upstream.failure_rate < EJECTION_MIN_FAILURE_RATE + tier_margin || upstream.ejected_until > now {
+        if upstream.failure_rate < EJECTION_MIN_FAILURE_RATE + tier_margin || upstream.ejected_until_s > now_s
+        {
             return None;
         }
         let group = if upstream.is_local { &self.subset.local } else { &self.subset.remote };
-        let ejected = group.members.iter().filter(|&&slot| self.upstreams[slot].ejected_until > now).count();
-        if !unreachable && (ejected + 1) as f64 > (group.members.len() as f64 * MAX_EJECTED_FRACTION).max(1.0)
+        let ejected =
+            group.member_slots.iter().filter(|&&slot| self.upstreams[slot].ejected_until_s > now_s).count();
+        if !unreachable
+            && (ejected + 1) as f64 > (group.member_slots.len() as f64 * MAX_EJECTED_FRACTION).max(1.0)
         {
             return None;
         }
         let upstream = &mut self.upstreams[slot];
-        let duration_s = upstream.next_ejection_s * uniform(&mut self.rng, EJECTION_JITTER);
-        upstream.ejected_until = now + duration_s;
+        let duration_s = upstream.next_ejection_s * uniform_random(&mut self.rng, EJECTION_JITTER);
+        upstream.ejected_until_s = now_s + duration_s;
         upstream.next_ejection_s = (upstream.next_ejection_s * 2.0).min(MAX_EJECTION_S);
         upstream.return_probability = INITIAL_RETURN_PROBABILITY;
         Some(Duration::from_secs_f64(duration_s))
@@ -1549,13 +1563,13 @@
 
     /// Reports a changed level of trust, and aborts pending connects to upstreams that the list no longer
     /// allows to send to.
-    fn check_list_trust(&mut self, now: f64, actions: &mut Vec<Action>) {
-        if let Some(level) = self.list_trust.level_changed(now) {
+    fn check_list_trust(&mut self, now_s: f64, actions: &mut Vec<Action>) {
+        if let Some(level) = self.list_trust.level_changed(now_s) {
             actions.push(Action::Report(Report::ListTrustChanged(level)));
         }
         let untrusted_in_flight = |upstream: &&Upstream| {
             upstream.in_flight > 0
-                && !self.list_trust.allows_send(now, upstream.last_accepted_send)
+                && !self.list_trust.allows_send(now_s, upstream.last_accepted_send_s)
                 && upstream.is_usable()
         };
         for (_, upstream) in self.upstreams.iter().filter(|(_, upstream)| untrusted_in_flight(upstream)) {
@@ -1565,24 +1579,28 @@
 
     /// Sets the next timer, retries a failed subscription, and updates moving averages and the available
     /// capacity.
-    fn periodic_update(&mut self, now: f64, actions: &mut Vec<Action>) {
+    fn periodic_update(&mut self, now_s: f64, actions: &mut Vec<Action>) {
         actions.push(Action::SetTimer(Duration::from_secs_f64(PERIODIC_UPDATE_INTERVAL_S)));
-        if !self.subscription.subscribed && now >= self.subscription.retry_at {
-            self.subscribe(now, actions);
+        if !self.subscription.subscribed && now_s >= self.subscription.retry_at_s {
+            self.subscribe(now_s, actions);
         }
-        self.check_list_trust(now, actions);
+        self.check_list_trust(now_s, actions);
         for (suppressor, limit) in self.suppressors.iter_mut().zip(&mut self.limits) {
             limit.mean_accepted_rate +=
-                MEAN_RATE_EWMA_WEIGHT * (suppressor.accepted_rate(now) - limit.mean_accepted_rate);
+                MEAN_RATE_EWMA_WEIGHT * (suppressor.accepted_rate(now_s) - limit.mean_accepted_rate);
         }
         // Quotas assume the whole tier. While some of its upstreams are gone, in slow start or ejected, the
         // full quotas would overload the others.
         let capacity = |&slot: &usize| {
             let upstream = &self.upstreams[slot];
-            if upstream.ejected_until > now { 0.0 } else { upstream.slow_start_fraction(now, &self.settings) }
+            if upstream.ejected_until_s > now_s {
+                0.0
+            } else {
+                upstream.slow_start_fraction(now_s, &self.settings)
+            }
         };
         let Subset { local, remote, initial_ready_count, .. } = &self.subset;
-        let members = local.members.iter().chain(&*remote.members);
+        let members = local.member_slots.iter().chain(&*remote.member_slots);
         let subset_capacity = members.map(capacity).sum::<f64>() / self.subset.size().max(1) as f64;
         let ready_fraction = self.ready_slots.len() as f64 / initial_ready_count.unwrap_or(1) as f64;
         // 1 up to half of the congestion threshold, falling to 0 at the threshold.
@@ -1593,8 +1611,8 @@
         self.subset.update_local_share(self.settings.costs.cross_zone, &mut self.rng);
         for group in [&mut self.subset.local, &mut self.subset.remote] {
             let is_warm =
-                |&&slot: &&usize| self.upstreams[slot].slow_start_fraction(now, &self.settings) >= 1.0;
-            let warm_count = group.members.iter().filter(is_warm).count();
+                |&&slot: &&usize| self.upstreams[slot].slow_start_fraction(now_s, &self.settings) >= 1.0;
+            let warm_count = group.member_slots.iter().filter(is_warm).count();
             let rate = f64::from(group.warm_sends) / PERIODIC_UPDATE_INTERVAL_S / warm_count.max(1) as f64;
             group.warm_send_rate += WARM_RATE_EWMA_WEIGHT * (rate - group.warm_send_rate);
             group.warm_sends = 0;
@@ -1605,7 +1623,7 @@
 impl PendingRequests {
     /// Whether the request has already had an attempt at this upstream.
     fn already_tried(&self, id: RequestId, upstream: UpstreamId) -> bool {
-        self.by_id
+        self.pending_by_id
             .get(&id)
             .is_some_and(|pending| pending.attempts.iter().any(|attempt| attempt.member.id == upstream))
     }
@@ -1618,7 +1636,7 @@
 
 /// Whether the class's idempotency allows the request to be sent to `member` after the attempts so far.
 fn may_send_again(
-    now: f64,
+    now_s: f64,
     idempotency: Idempotency,
     first_possibly_executed: Option<&Attempt>,
     member: &Member,
@@ -1628,7 +1646,7 @@
         Idempotency::Idempotent => true,
         Idempotency::NonIdempotent => false,
         Idempotency::Deduplicated { scope, window } => {
-            now - first.sent_at <= window.as_secs_f64()
+            now_s - first.sent_at_s <= window.as_secs_f64()
                 && match scope {
                     DedupScope::All => true,
                     DedupScope::Zone => first.member.zone.is_some() && member.zone == first.member.zone,
--- a/src/list_trust.rs
+++ b/src/list_trust.rs
@@ -37,17 +37,17 @@
     /// the replica started counts as delivered.
     UnknownAge {
         /// When the replica started.
-        started: f64,
+        started_at_s: f64,
         /// When it first sent a request, if it has.
-        first_used: Option<f64>,
+        first_used_at_s: Option<f64>,
     },
     /// The subscription has been lost, so changes may have been missed.
     Unconfirmed {
         /// Until when the list is valid.
-        valid_until: f64,
+        valid_until_s: f64,
         /// The same once a call to discovery has failed.
-        valid_until_if_call_failed: f64,
-        /// Whether upstreams that have recently accepted a request may be used after `valid_until`. Not
+        valid_until_if_call_failed_s: f64,
+        /// Whether upstreams that have recently accepted a request may be used after `valid_until_s`. Not
         /// directly after a subscription has ended because of a change: a draining upstream goes on accepting
         /// requests for a while, so acceptance proves nothing then.
         acceptance_counts: bool,
@@ -61,20 +61,20 @@
     /// The drain grace less the time for which the process may be paused, in seconds.
     usable_drain_grace_s: f64,
     /// The level of trust when [`Self::level_changed`] was last called.
-    level: TrustLevel,
+    reported_level: TrustLevel,
 }
 
 impl ListTrust {
     /// The state before the first update from discovery: a list of unknown age or, if lists are pushed, a
     /// confirmed one.
-    pub(crate) fn new(now: f64, mode: DiscoveryMode, rules: &Rules) -> Self {
+    pub(crate) fn new(now_s: f64, mode: DiscoveryMode, rules: &Rules) -> Self {
         let (state, level) = match mode {
             DiscoveryMode::Push => (ListState::Confirmed, TrustLevel::Confirmed),
             DiscoveryMode::Subscribe => {
-                (ListState::UnknownAge { started: now, first_used: None }, TrustLevel::Held)
+                (ListState::UnknownAge { started_at_s: now_s, first_used_at_s: None }, TrustLevel::Held)
             }
         };
-        Self { state, usable_drain_grace_s: 0.0, level }.with_rules(rules)
+        Self { state, usable_drain_grace_s: 0.0, reported_level: level }.with_rules(rules)
     }
 
     /// The same state under changed rules.
@@ -86,9 +86,9 @@
     }
 
     /// Records that a request is sent to an upstream of the list.
-    pub(crate) fn record_use(&mut self, now: f64) {
-        if let ListState::UnknownAge { first_used, .. } = &mut self.state {
-            first_used.get_or_insert(now);
+    pub(crate) fn record_use(&mut self, now_s: f64) {
+        if let ListState::UnknownAge { first_used_at_s, .. } = &mut self.state {
+            first_used_at_s.get_or_insert(now_s);
         }
     }
 
@@ -98,70 +98,74 @@
     }
 
     /// The subscription has ended, or a call to discovery has failed.
-    pub(crate) fn subscription_lost(&mut self, now: f64, rules: &Rules) {
+    pub(crate) fn subscription_lost(&mut self, now_s: f64, rules: &Rules) {
         self.state = match self.state {
             ListState::Confirmed => {
-                let delivery_assumed_at = now + DELIVERY_ASSUMED_S + self.usable_drain_grace_s;
+                let delivery_assumed_at_s = now_s + DELIVERY_ASSUMED_S + self.usable_drain_grace_s;
                 // The end of a subscription signals a change only where replicas must poll discovery.
                 let must_poll = rules.max_poll_interval.is_some();
-                let valid_until = if must_poll {
-                    now + DELIVERY_ASSUMED_AFTER_END_S + self.usable_drain_grace_s
+                let valid_until_s = if must_poll {
+                    now_s + DELIVERY_ASSUMED_AFTER_END_S + self.usable_drain_grace_s
                 } else {
-                    delivery_assumed_at
+                    delivery_assumed_at_s
                 };
                 ListState::Unconfirmed {
-                    valid_until,
-                    valid_until_if_call_failed: delivery_assumed_at,
+                    valid_until_s,
+                    valid_until_if_call_failed_s: delivery_assumed_at_s,
                     acceptance_counts: !must_poll,
                 }
             }
             ListState::UnknownAge { .. } => self.state,
-            ListState::Unconfirmed { valid_until, valid_until_if_call_failed, .. } => {
-                let valid_until = valid_until.max(valid_until_if_call_failed);
-                ListState::Unconfirmed { valid_until, valid_until_if_call_failed, acceptance_counts: true }
+            ListState::Unconfirmed { valid_until_s, valid_until_if_call_failed_s, .. } => {
+                let valid_until_s = valid_until_s.max(valid_until_if_call_failed_s);
+                ListState::Unconfirmed {
+                    valid_until_s,
+                    valid_until_if_call_failed_s,
+                    acceptance_counts: true,
+                }
             }
         };
     }
 
     /// The subscription was given up after it had delivered nothing for the time `silence`. Changes may have
     /// been missed since its last update.
-    pub(crate) fn subscription_timed_out(&mut self, now: f64, silence: Duration, rules: &Rules) {
+    pub(crate) fn subscription_timed_out(&mut self, now_s: f64, silence: Duration, rules: &Rules) {
         if self.state != ListState::Confirmed {
-            return self.subscription_lost(now, rules);
+            return self.subscription_lost(now_s, rules);
         }
-        let valid_until = now - silence.as_secs_f64() + DELIVERY_ASSUMED_S + self.usable_drain_grace_s;
+        let valid_until_s = now_s - silence.as_secs_f64() + DELIVERY_ASSUMED_S + self.usable_drain_grace_s;
         self.state = ListState::Unconfirmed {
-            valid_until,
-            valid_until_if_call_failed: valid_until,
+            valid_until_s,
+            valid_until_if_call_failed_s: valid_until_s,
             acceptance_counts: true,
         };
     }
 
     /// Nothing accepts connections at discovery's address: while discovery is down, its changes do not count
     /// as delivered, so the time starts again with every such failure.
-    pub(crate) fn discovery_unreachable(&mut self, now: f64) {
-        let valid_until = now + DELIVERY_ASSUMED_S + self.usable_drain_grace_s;
+    pub(crate) fn discovery_unreachable(&mut self, now_s: f64) {
+        let valid_until_s = now_s + DELIVERY_ASSUMED_S + self.usable_drain_grace_s;
         self.state = ListState::Unconfirmed {
-            valid_until,
-            valid_until_if_call_failed: valid_until,
+            valid_until_s,
+            valid_until_if_call_failed_s: valid_until_s,
             acceptance_counts: true,
         };
     }
 
     /// Discovery has moved to another address. This never extends the time for which the list is valid.
-    pub(crate) fn discovery_moved(&mut self, now: f64) {
-        let delivery_assumed_at = now + DELIVERY_ASSUMED_AFTER_MOVE_S + self.usable_drain_grace_s;
+    pub(crate) fn discovery_moved(&mut self, now_s: f64) {
+        let delivery_assumed_at_s = now_s + DELIVERY_ASSUMED_AFTER_MOVE_S + self.usable_drain_grace_s;
         self.state = match self.state {
             ListState::Confirmed => ListState::Unconfirmed {
-                valid_until: delivery_assumed_at,
-                valid_until_if_call_failed: delivery_assumed_at,
+                valid_until_s: delivery_assumed_at_s,
+                valid_until_if_call_failed_s: delivery_assumed_at_s,
                 acceptance_counts: true,
             },
             ListState::UnknownAge { .. } => self.state,
-            ListState::Unconfirmed { valid_until, valid_until_if_call_failed, acceptance_counts } => {
+            ListState::Unconfirmed { valid_until_s, valid_until_if_call_failed_s, acceptance_counts } => {
                 ListState::Unconfirmed {
-                    valid_until: valid_until.min(delivery_assumed_at),
-                    valid_until_if_call_failed: valid_until_if_call_failed.min(delivery_assumed_at),
+                    valid_until_s: valid_until_s.min(delivery_assumed_at_s),
+                    valid_until_if_call_failed_s: valid_until_if_call_failed_s.min(delivery_assumed_at_s),
                     acceptance_counts,
                 }
             }
@@ -170,43 +174,43 @@
 
     /// Until when an upstream of the list may be sent to, given when the latest request that it accepted was
     /// sent; `None` without a limit.
-    pub(crate) fn sends_allowed_until(&self, last_accepted_send: Option<f64>) -> Option<f64> {
-        let valid_until = self.list_valid_until()?;
-        let accepted_until = last_accepted_send
+    pub(crate) fn sends_allowed_until_s(&self, last_accepted_send_s: Option<f64>) -> Option<f64> {
+        let valid_until_s = self.list_valid_until_s()?;
+        let accepted_until_s = last_accepted_send_s
             .filter(|_| self.acceptance_counts())
-            .map(|last_accepted_send| last_accepted_send + ACCEPTANCE_VALID_S);
-        Some(accepted_until.map_or(valid_until, |accepted_until| accepted_until.max(valid_until)))
+            .map(|last_accepted_send_s| last_accepted_send_s + ACCEPTANCE_VALID_S);
+        Some(accepted_until_s.map_or(valid_until_s, |accepted_until_s| accepted_until_s.max(valid_until_s)))
     }
 
     /// Whether an upstream of the list may be sent to now, given when the latest request that it accepted was
     /// sent.
-    pub(crate) fn allows_send(&self, now: f64, last_accepted_send: Option<f64>) -> bool {
-        self.sends_allowed_until(last_accepted_send).is_none_or(|valid_until| now < valid_until)
+    pub(crate) fn allows_send(&self, now_s: f64, last_accepted_send_s: Option<f64>) -> bool {
+        self.sends_allowed_until_s(last_accepted_send_s).is_none_or(|valid_until_s| now_s < valid_until_s)
     }
 
     /// The level of trust, if it has changed since the last call.
-    pub(crate) fn level_changed(&mut self, now: f64) -> Option<TrustLevel> {
-        let level = match self.list_valid_until() {
+    pub(crate) fn level_changed(&mut self, now_s: f64) -> Option<TrustLevel> {
+        let level = match self.list_valid_until_s() {
             None => TrustLevel::Confirmed,
-            Some(valid_until) if now < valid_until => TrustLevel::Held,
+            Some(valid_until_s) if now_s < valid_until_s => TrustLevel::Held,
             Some(_) if self.acceptance_counts() => TrustLevel::Proved,
             Some(_) => TrustLevel::Expired,
         };
-        (std::mem::replace(&mut self.level, level) != level).then_some(level)
+        (std::mem::replace(&mut self.reported_level, level) != level).then_some(level)
     }
 
     /// Until when the whole list is valid, whether or not its upstreams have accepted requests; `None` while
     /// it is confirmed.
-    fn list_valid_until(&self) -> Option<f64> {
+    fn list_valid_until_s(&self) -> Option<f64> {
         match self.state {
             ListState::Confirmed => None,
-            ListState::UnknownAge { started, first_used } => {
-                let delivery_assumed_at = started + DELIVERY_ASSUMED_S + self.usable_drain_grace_s;
-                Some(first_used.map_or(delivery_assumed_at, |first_used| {
-                    delivery_assumed_at.min(first_used + ACCEPTANCE_VALID_S)
+            ListState::UnknownAge { started_at_s, first_used_at_s } => {
+                let delivery_assumed_at_s = started_at_s + DELIVERY_ASSUMED_S + self.usable_drain_grace_s;
+                Some(first_used_at_s.map_or(delivery_assumed_at_s, |first_used_at_s| {
+                    delivery_assumed_at_s.min(first_used_at_s + ACCEPTANCE_VALID_S)
                 }))
             }
-            ListState::Unconfirmed { valid_until, .. } => Some(valid_until),
+            ListState::Unconfirmed { valid_until_s, .. } => Some(valid_until_s),
         }
     }
 
