--- a/src/decide.rs
+++ b/src/decide.rs
@@ -31,214 +31,249 @@
 use crate::list_trust::ListTrust;
 use crate::report::{Report, UnservedReason};
 
-// --- Constants. Values that differ between sites are in the settings. ---
+// --- Constants (values that differ between sites are in the settings) ---
 
-/// Length of a bucket of the sliding window, in seconds. A suppression probability is cached for as long, so
-/// that each one is computed from whole buckets.
+/// Length of a bucket of the sliding window in which a suppressor counts calls, in seconds. The suppression
+/// probability is cached for one bucket, so that it is always computed from whole buckets.
 const BUCKET_S: f64 = 0.1;
-/// Number of buckets in the window. Three seconds smooth random variation at a few calls a second, and a
-/// burst is soon forgotten.
+/// Number of buckets in the sliding window of a suppressor. A window of three seconds smooths random
+/// variation at a few calls a second, and a burst is soon forgotten.
 const WINDOW_BUCKETS: usize = 30;
-/// Length of the window, in seconds.
+/// Length of the sliding window of a suppressor, in seconds.
 const WINDOW_S: f64 = BUCKET_S * WINDOW_BUCKETS as f64;
-/// Number of calls that the window shared by all tenants should hold at its fair share, so that random
-/// variation does not decide its outcome; the buckets of that window are lengthened to reach it ...
+/// Number of calls that the sliding window of the suppressor shared by all tenants should hold at its fair
+/// share, so that random variation does not decide its outcome. The buckets of that window are lengthened to
+/// reach it, up to [`MAX_SHARED_BUCKET_FACTOR`].
 const MIN_SHARED_WINDOW_CALLS: f64 = 30.0;
-/// ... up to this many times [`BUCKET_S`].
+/// Maximum length of a bucket of the window shared by all tenants, as a multiple of [`BUCKET_S`]; see
+/// [`MIN_SHARED_WINDOW_CALLS`].
 const MAX_SHARED_BUCKET_FACTOR: f64 = 4.0;
-/// Number of buckets of [`BUCKET_S`] in the last 1000 ms.
+/// Number of buckets of [`BUCKET_S`] that cover the last 1000 ms.
 const LAST_SECOND_BUCKETS: u64 = 10;
-/// Hard limit as a multiple of the soft limit. It is wide because above it every call is denied: with a lower
-/// one, a tenant that sends several times its share would lose its share as well.
+/// A suppressor's hard limit as a multiple of its soft limit. Above the soft limit some calls are denied,
+/// above the hard limit all. The factor is large because with a lower one, a tenant that sends several times
+/// its share would lose its share as well.
 const HARD_LIMIT_FACTOR: f64 = 32.0;
-/// The most that all tenants of a replica together may send beyond their fair shares while there is no
-/// congestion, as a fraction of the fair shares ...
+/// Maximum that all tenants of a replica together may send beyond their fair shares while there is no
+/// congestion, as a fraction of the fair shares. The allowed excess approaches it as the fair share grows;
+/// see [`HALF_EXCESS_CALLS_PER_S`].
 const MAX_EXCESS_FRACTION: f64 = 0.4;
-/// ... and the fair share in calls per second at which half of that is allowed: the fewer calls a replica
-/// sees, the later it notices congestion.
+/// Fair share of a replica, in calls per second, at which half of [`MAX_EXCESS_FRACTION`] is allowed. Smaller
+/// replicas are allowed less: the fewer calls a replica sees, the later it notices congestion.
 const HALF_EXCESS_CALLS_PER_S: f64 = 12.0;
-/// Value of requests over quota from which the excess is worth serving, so that limits have no ceiling.
+/// Minimum value of a request beyond its tenant's quota, as a fraction of its full value, at which the excess
+/// is worth serving: from this value on, the learned rate limits have no ceiling.
 const UNCAPPED_MIN_OVER_QUOTA_VALUE: f64 = 0.5;
-/// Margin above a fair share for random variation, in standard deviations, so that a tenant with few calls is
-/// not mistaken for one with too many.
+/// Margin of a rate limit above the fair share for random variation, in standard deviations of the calls in
+/// the window, so that a tenant with few calls is not mistaken for one with too many.
 const FAIR_SHARE_STD_DEVS: f64 = 1.0;
-/// Calls per second that a call served in time adds to a limit: about 5% per second at the limit.
+/// Calls per second that each call served in time adds to a learned rate limit: about 5% per second when
+/// calls arrive at the limit.
 const RATE_INCREASE_CALLS_PER_S: f64 = 0.05;
-/// The same while the limit is below what is within the quotas: about 15% per second, which recovers from a
-/// quarter of the rate in ten seconds.
+/// Calls per second that each call served in time adds to a learned rate limit while the limit is below what
+/// the quotas allow: about 15% per second, which recovers from a quarter of the rate in ten seconds.
 const RATE_RECOVERY_CALLS_PER_S: f64 = 0.15;
-/// Factor by which a decrease multiplies a limit.
+/// Factor by which a decrease in light congestion multiplies a learned rate limit.
 const DECREASE_FACTOR: f64 = 0.85;
-/// Time between two decreases, in seconds; drawn at random so that replicas do not decrease at the same
-/// moment.
+/// Range of the time between two decreases of the learned rate limits, in seconds. The time is drawn at
+/// random so that replicas do not decrease their limits at the same moment.
 const DECREASE_INTERVAL_S: Range<f64> = 0.25..0.5;
-/// Factor by which a decrease multiplies a limit in overload: overloaded servers stop serving within seconds.
+/// Factor by which a decrease in overload multiplies a learned rate limit. It is lower than
+/// [`DECREASE_FACTOR`] because overloaded servers stop serving within seconds.
 const OVERLOAD_DECREASE_FACTOR: f64 = 0.7;
-/// Congestion that counts as overload, at which the floor of a limit has come down ...
+/// Congestion estimate that counts as overload, at which the floor of a rate limit has fallen to
+/// [`OVERLOAD_FLOOR_FRACTION`].
 const OVERLOAD_CONGESTION: f64 = 0.7;
-/// ... to this fraction of the fair share, which an overloaded tier can still serve.
+/// Floor of a rate limit in overload, as a fraction of the fair share, which an overloaded tier can still
+/// serve.
 const OVERLOAD_FLOOR_FRACTION: f64 = 0.25;
-/// Floor of a limit without a quota, as a fraction of the mean accepted rate. It is high because a call
-/// denied below the first tier makes the whole request above it fail.
+/// Floor of a rate limit that has no quota, as a fraction of the mean accepted rate. It is high because a
+/// call denied below the first tier makes the whole request above it fail.
 const UNQUOTED_FLOOR_FRACTION: f64 = 0.7;
-/// Weight of one periodic update in the mean accepted rate.
+/// Weight of one periodic update in the moving average of the accepted call rate.
 const MEAN_RATE_EWMA_WEIGHT: f64 = 0.02;
-/// Minimum fraction of a tier's capacity that is assumed to be available: if more of it is ejected, the whole
-/// tier has a problem and no servers have been lost.
+/// Minimum fraction of a tier's capacity that is assumed to be available when the shared limit is scaled. If
+/// less seems to be left, for example because more upstreams are ejected, the whole tier has a problem and no
+/// servers have been lost.
 const MIN_CAPACITY_FRACTION: f64 = 0.5;
 /// Fraction by which the remaining upstreams of a tier may exceed their part of the load while there is no
 /// congestion, because quotas do not tell the capacity. This does harm where the quotas are all that the tier
 /// can serve, until the congestion shows.
 const SPARE_CAPACITY_FRACTION: f64 = 0.5;
-/// How much longer calls of the local zone must take than calls of other zones before any calls leave it, as
-/// a fraction of their latency targets: more than the noise of some twenty calls ...
+/// How much longer calls to the local zone must take than calls to other zones before more calls leave it, as
+/// a fraction of their latency targets. It exceeds the noise of some twenty calls;
+/// [`LOCAL_LATENCY_TOLERANCE_PER_COST`] is added.
 const LOCAL_LATENCY_TOLERANCE: f64 = 0.03;
-/// ... plus this much for each unit of the cost of crossing zones.
+/// Addition to [`LOCAL_LATENCY_TOLERANCE`] for each unit of the cost of a call that crosses zones.
 const LOCAL_LATENCY_TOLERANCE_PER_COST: f64 = 0.5;
-/// What a periodic update adds to the fraction of calls that stays in the local zone ...
+/// What a periodic update adds to the fraction of calls that stays in the local zone, unless the local zone
+/// is slower than the others.
 const LOCAL_SHARE_INCREASE: f64 = 0.004;
-/// ... or takes off it if the local zone is slower.
+/// What a periodic update subtracts from the fraction of calls that stays in the local zone while the local
+/// zone is slower than the others.
 const LOCAL_SHARE_DECREASE: f64 = 0.03;
-/// Random factor of each of these steps.
+/// Range of the random factor of each change of the fraction of calls that stays in the local zone.
 const LOCAL_SHARE_STEP_JITTER: Range<f64> = 0.5..1.5;
-/// Average number of replicas that have a given upstream in their subset.
+/// Average number of balancer replicas that have a given upstream in their subset.
 const REPLICAS_PER_UPSTREAM: f64 = 4.0;
-/// Minimum size of a subset: in a smaller one, two draws too often give the same upstream.
+/// Minimum number of upstreams in a replica's subset: in a smaller one, the two random draws too often give
+/// the same upstream.
 const MIN_SUBSET_SIZE: usize = 8;
 /// Stride between the positions of consecutive replicas on the ring of upstreams, as a fraction of the number
 /// of replicas.
 const INVERSE_GOLDEN_RATIO: f64 = 0.618;
-/// Weight of one outcome in an upstream's failure rate; the second failure in a row stands out.
+/// Weight of one outcome in the moving average of an upstream's failures, chosen so that the second failure
+/// in a row stands out.
 const FAILURE_EWMA_WEIGHT: f64 = 0.2;
-/// Weight of one outcome in the tier's failure rate, and of one latency in its slowness.
+/// Weight of one call in the moving averages over the whole tier: its failure rate and its slowness.
 const TIER_EWMA_WEIGHT: f64 = 0.02;
-/// An upstream is ejected if its failure rate reaches this ...
+/// Failure rate, 0 to 1, from which an upstream is ejected if the rest of the tier is healthy;
+/// [`EJECTION_TIER_FAILURE_FACTOR`] times the tier's failure rate is added.
 const EJECTION_MIN_FAILURE_RATE: f64 = 0.3;
-/// ... plus this multiple of the tier's failure rate.
+/// Multiple of the tier's failure rate that is added to [`EJECTION_MIN_FAILURE_RATE`], so that an upstream is
+/// ejected only if it fails more often than the tier does.
 const EJECTION_TIER_FAILURE_FACTOR: f64 = 2.0;
 /// Number of failed connects in a row, with no response between them, from which an upstream counts as
 /// unreachable. An upstream that answers on other connections is reachable, however many of its new
 /// connections open too late.
 const UNREACHABLE_CONNECT_FAILURES: u32 = 2;
-/// Maximum fraction of a zone group that is ejected at a time: the rest must carry the load.
+/// Maximum fraction of the upstreams of a zone group that is ejected at a time: the rest must carry the load.
 const MAX_EJECTED_FRACTION: f64 = 0.34;
-/// Duration of the first ejection, in seconds; doubled if the upstream fails again on its return ...
+/// Duration of an upstream's first ejection, in seconds. It is doubled, up to [`MAX_EJECTION_S`], if the
+/// upstream fails again on its return.
 const INITIAL_EJECTION_S: f64 = 1.5;
-/// ... up to this.
+/// Maximum duration of an ejection before its random factor, in seconds.
 const MAX_EJECTION_S: f64 = 12.0;
-/// Random factor of the duration of an ejection.
+/// Range of the random factor of the duration of an ejection.
 const EJECTION_JITTER: Range<f64> = 0.75..1.25;
 /// Fraction of its normal selection probability with which an upstream returns from ejection; doubled by each
 /// good answer.
 const INITIAL_RETURN_PROBABILITY: f64 = 0.1;
-/// An upstream with attempts in flight is stalled if it has not responded for this many typical latencies ...
+/// Number of typical latencies without any response after which an upstream with attempts in flight counts as
+/// stalled, but not before [`MIN_STALL_S`].
 const STALL_LATENCY_FACTOR: f64 = 3.0;
-/// ... and for at least this many seconds.
+/// Minimum time without any response after which an upstream with attempts in flight counts as stalled, in
+/// seconds.
 const MIN_STALL_S: f64 = 0.25;
-/// Minimum weight of one latency in an upstream's slowness; the first ones weigh more.
+/// Minimum weight of one latency in the moving average of an upstream's slowness; the first ones weigh more.
 const SLOWNESS_EWMA_WEIGHT: f64 = 0.15;
-/// Maximum slowness of one call: its latency as a multiple of the typical latency.
+/// Maximum slowness that is counted for one call. Slowness is the latency as a multiple of the typical
+/// latency of the class.
 const MAX_SLOWNESS_SAMPLE: f64 = 8.0;
-/// Weight of one latency in the slowness of its machine type, which is known before that of single upstreams.
+/// Weight of one latency in the moving average of the slowness of its machine type, which is known before
+/// that of single upstreams.
 const MACHINE_TYPE_SLOWNESS_EWMA_WEIGHT: f64 = 0.1;
 /// Maximum slowness of one call as counted for a machine type: upstreams that have restarted after a crash or
 /// overload of their whole type must still be sent calls.
 const MAX_MACHINE_TYPE_SLOWNESS_SAMPLE: f64 = 2.0;
-/// Minimum of the factor by which slowness lowers the selection probability: an upstream needs calls for its
-/// recovery to be noticed.
+/// Minimum of the factor by which slowness lowers an upstream's selection probability: a slow upstream needs
+/// some calls for its recovery to be noticed.
 const MIN_SLOWNESS_FACTOR: f64 = 0.05;
-/// Weight of one call in the relative latency of a zone group.
+/// Weight of one call in the moving average of the relative latency of a zone group.
 const ZONE_LATENCY_EWMA_WEIGHT: f64 = 0.05;
-/// Weight of one periodic update in the send rate to upstreams that are warm, that is, past slow start.
+/// Weight of one periodic update in the moving average of the send rate to upstreams that are not in slow
+/// start.
 const WARM_RATE_EWMA_WEIGHT: f64 = 0.2;
-/// Seconds of its send rate that an upstream in slow start may save up as tokens, in addition to one.
+/// Maximum number of tokens that an upstream in slow start can save up for attempts, in seconds of its send
+/// rate, in addition to one token.
 const SLOW_START_BURST_S: f64 = 0.5;
-/// Tokens that a request adds to the budget for retries of attempts that may have been executed ...
+/// Tokens that each admitted request adds to the budget for retries of attempts that may have been executed;
+/// a retry takes one.
 const RETRY_TOKENS_PER_REQUEST: f64 = 0.1;
-/// ... and the maximum of that budget.
+/// Maximum of the budget for retries of attempts that may have been executed, in tokens.
 const MAX_RETRY_TOKENS: f64 = 10.0;
-/// Tokens that a request adds to the budget for retries of attempts that were certainly not executed ...
+/// Tokens that each admitted request adds to the budget for retries of attempts that were certainly not
+/// executed; a retry takes one.
 const REROUTE_TOKENS_PER_REQUEST: f64 = 0.5;
-/// ... and the maximum of that budget.
+/// Maximum of the budget for retries of attempts that were certainly not executed, in tokens.
 const MAX_REROUTE_TOKENS: f64 = 20.0;
-/// Time over which congestion is averaged, in seconds: overloaded servers stop serving within two.
+/// Time over which the congestion estimate averages calls, in seconds: overloaded servers stop serving within
+/// two seconds.
 const CONGESTION_WINDOW_S: f64 = 2.0;
-/// Maximum weight of one call in that average.
+/// Maximum weight of one call in the moving average of congestion.
 const MAX_CONGESTION_SAMPLE_WEIGHT: f64 = 0.15;
-/// Congestion from which limits are decreased.
+/// Congestion estimate from which the learned rate limits are decreased.
 const CONGESTION_THRESHOLD: f64 = 0.2;
-/// Time over which the typical latency of a class is averaged, in seconds; long, so that latencies under
-/// congestion do not become the typical ones ...
+/// Time over which the typical latency of a class is averaged, in seconds. It is long so that latencies under
+/// congestion do not become the typical ones.
 const TYPICAL_LATENCY_WINDOW_S: f64 = 20.0;
-/// ... and the maximum weight of one call in it.
+/// Maximum weight of one call in the moving average of the typical latency of a class.
 const MAX_TYPICAL_LATENCY_SAMPLE_WEIGHT: f64 = 0.02;
-/// Under congestion, that weight is divided by this.
+/// Divisor of the weight of a call in the typical latency of its class while there is congestion.
 const CONGESTED_LEARNING_DIVISOR: f64 = 10.0;
-/// Latencies below this are counted as this, in seconds, so that their logarithm is finite.
+/// Minimum latency that is counted for a call, in seconds, so that its logarithm is finite; shorter ones are
+/// raised to it.
 const MIN_LATENCY_S: f64 = 1e-4;
-/// Congestion sample of a call that failed or was late, and the maximum for other calls. Their sample is the
-/// natural logarithm of their latency over the typical one, roughly the number of doublings, so that a few
-/// heavy calls count little and a general delay counts much.
+/// Congestion sample of a call that failed or missed its latency target, and the maximum sample of other
+/// calls. Other calls count with the natural logarithm of their latency over the typical one, roughly the
+/// number of doublings, so that a few heavy calls count little and a general delay counts much.
 const MAX_CONGESTION_SAMPLE: f64 = 2.0;
-/// Minimum congestion sample, of a call faster than typical.
+/// Minimum congestion sample, which calls that are much faster than typical have.
 const MIN_CONGESTION_SAMPLE: f64 = -1.0;
-/// Failure rate of the tier from which an error counts as congestion further down and not as one bad
-/// upstream. Served calls must be slowed down as well: faults also make calls fail, and fewer calls do not
+/// Failure rate of the tier, 0 to 1, from which an error counts as congestion further down and not as one bad
+/// upstream. The served calls must be slower as well: faults also make calls fail, and fewer calls do not
 /// repair them.
 const CONGESTION_TIER_FAILURE_RATE: f64 = 0.1;
-/// Time that an attempt must have left to be worth sending, in seconds.
+/// Minimum time that must be left until the answer deadline for an attempt to be sent, in seconds.
 const MIN_ATTEMPT_TIMEOUT_S: f64 = 0.001;
-/// Time between periodic updates, in seconds.
+/// Time between the periodic updates of the balancer, in seconds.
 const PERIODIC_UPDATE_INTERVAL_S: f64 = 0.2;
-/// Maximum number of pairs that are drawn until an upstream is no busier than the average of the subset.
+/// Maximum number of pairs of random upstreams that are drawn for an attempt until one of them is no busier
+/// than the average of the subset.
 const MAX_PAIRS: usize = 4;
-/// Cost of a handshake when upstreams are compared, in attempts in flight. It counts only where handshakes
-/// have a cost; a replica with few calls then uses few upstreams of its subset, over connections that stay
-/// open.
+/// Load that opening a connection counts for when upstreams are compared, in attempts in flight. It applies
+/// only where the settings give handshakes a cost; a replica with few calls then uses few upstreams of its
+/// subset, over connections that stay open.
 const HANDSHAKE_COST: f64 = 1.0;
-/// Maximum number of draws for each candidate of a pair.
+/// Maximum number of random draws to find one upstream of a pair; a drawn upstream may be rejected, for
+/// example because it is ejected or in slow start.
 const MAX_DRAWS: usize = 6;
-/// Time before a subscription is opened again after its first failure, in seconds; doubled by each further
-/// one.
+/// Time before a subscription to discovery is opened again after its first failure, in seconds. Each further
+/// failure doubles it.
 const INITIAL_RESUBSCRIBE_BACKOFF_S: f64 = 0.5;
-/// Random factor of that time where replicas must poll discovery; elsewhere the subscription is opened again
-/// at the next periodic update.
+/// Range of the random factor of the time before a failed subscription to discovery is opened again, where
+/// replicas must poll discovery. Elsewhere it is opened again at the next periodic update.
 const RESUBSCRIBE_JITTER: Range<f64> = 0.5..1.0;
-/// Longest wait for a subscription to deliver a list, or before it is opened again, as a fraction of the
-/// interval within which a replica must ask discovery.
+/// Maximum wait for a subscription to deliver a list, and before a failed one is opened again, as a fraction
+/// of the interval within which a replica must ask discovery.
 const SUBSCRIBE_WAIT_FRACTION: f64 = 0.4;
-/// The interval used for that where the rules set none, in seconds.
+/// Interval within which a replica asks discovery where the rules set none, in seconds; it only limits the
+/// waits of [`SUBSCRIBE_WAIT_FRACTION`].
 const DEFAULT_POLL_INTERVAL_S: f64 = 10.0;
 
 // --- 1. Suppressor ---
 
-/// Numbers of calls in a bucket or in the window.
+/// Numbers of calls that a suppressor has counted, in one bucket of its sliding window or in all of them.
 #[derive(Debug, Clone, Copy, Default)]
 struct CallCounts {
+    /// Accepted and rejected calls.
     total: u32,
+    /// Accepted calls.
     accepted: u32,
 }
 
-/// A probabilistic rate limiter over a sliding window, for one tenant or for all together: the 'suppressed'
-/// strategy of the source page for one key.
+/// A probabilistic rate limiter over a sliding window, for one tenant or for all together. It follows the
+/// published description of the 'suppressed' strategy (the source page), applied to one key.
 #[derive(Debug, Default)]
 struct Suppressor {
+    /// The length of a bucket, in seconds.
     bucket_s: f64,
-    /// The counts of the window, as a ring buffer indexed by bucket number.
+    /// The counts of the sliding window, as a ring buffer indexed by bucket number.
     buckets: [CallCounts; WINDOW_BUCKETS],
     /// The number of the latest bucket, counted from time 0.
     current_bucket: u64,
-    /// The bucket of the first call.
+    /// The number of the bucket in which the first call arrived; `None` before it.
     first_bucket: Option<u64>,
-    /// The sum of all buckets.
+    /// The counts of all buckets of the window together.
     window_counts: CallCounts,
-    /// The random fraction of a call that must be left under the soft limit for a call to fit.
+    /// A random number from 0 to 1: a call fits under the soft limit if there is room for more than this
+    /// fraction of a call.
     admission_threshold: f64,
-    /// The bucket from which the threshold is drawn again.
+    /// The number of the bucket from which `admission_threshold` is drawn again.
     threshold_redraw_bucket: u64,
     /// The cached probability with which a call above the soft limit is rejected.
     suppression_probability: f64,
-    /// The bucket for which that probability was computed.
+    /// The number of the bucket for which `suppression_probability` was computed.
     probability_bucket: Option<u64>,
 }
 
@@ -247,7 +282,7 @@
         Self { bucket_s, ..Self::default() }
     }
 
-    /// Moves the window to the present and clears the buckets that it enters.
+    /// Moves the sliding window to the present and clears the buckets that it enters.
     fn advance(&mut self, now_s: f64) {
         let now_bucket = (now_s / self.bucket_s) as u64;
         let entered_buckets = now_bucket.saturating_sub(self.current_bucket).min(WINDOW_BUCKETS as u64);
@@ -260,12 +295,13 @@
         self.current_bucket = self.current_bucket.max(now_bucket);
     }
 
+    /// The rate of accepted calls over the window, in calls per second.
     fn accepted_rate(&mut self, now_s: f64) -> f64 {
         self.advance(now_s);
         f64::from(self.window_counts.accepted) / self.observed_window_s()
     }
 
-    /// The part of the window that has passed since the first call, in seconds and at least one. Dividing by
+    /// The part of the window that has passed since the first call, in seconds, but at least 1 s. Dividing by
     /// the whole window would let a replica that has just started accept seconds of overload before the
     /// window fills, and all replicas of a fleet that has just started would do so together.
     fn observed_window_s(&self) -> f64 {
@@ -289,7 +325,7 @@
         self.observed_window_s() * limit - f64::from(self.window_counts.accepted) > self.admission_threshold
     }
 
-    /// Decides whether to accept a call; the caller then counts it with [`Self::record_call`].
+    /// Decides whether to accept a call. The caller then counts the call with [`Self::record_call`].
     fn admit(&mut self, now_s: f64, limit: &LearnedLimit, rng: &mut Rand64) -> bool {
         let fits_soft_limit = self.fits_soft_limit(now_s, limit.rate, rng);
         let hard_limit = limit.rate.max(limit.full_rate) * HARD_LIMIT_FACTOR;
@@ -297,7 +333,7 @@
         under_hard_limit && (fits_soft_limit || rng.rand_float() >= self.suppression_probability(limit.rate))
     }
 
-    /// Counts a call. After an accepted call, the next one draws a new threshold.
+    /// Counts a call. After an accepted call, the next call draws a new admission threshold.
     fn record_call(&mut self, admitted: bool) {
         let bucket = &mut self.buckets[(self.current_bucket % WINDOW_BUCKETS as u64) as usize];
         bucket.total += 1;
@@ -309,8 +345,8 @@
         }
     }
 
-    /// The sum of a count over the last [`LAST_SECOND_BUCKETS`] buckets. That is 1000 ms, or more for the
-    /// window shared by all tenants if its buckets are longer.
+    /// The sum of one of the counts over the last [`LAST_SECOND_BUCKETS`] buckets. They cover 1000 ms, or
+    /// more for the window shared by all tenants if its buckets are longer.
     fn last_second_count(&self, value: fn(&CallCounts) -> u32) -> f64 {
         let indices = (0..LAST_SECOND_BUCKETS)
             .map(|age| self.current_bucket.saturating_sub(age) % WINDOW_BUCKETS as u64);
@@ -331,27 +367,29 @@
 
 // --- 2. Learned limit ---
 
-/// A rate limit that adapts to the outcomes of the calls; all rates are in calls per second.
+/// The rate limit of a suppressor, which rises while calls are served in time and falls under congestion. All
+/// rates are in calls per second.
 #[derive(Debug, Clone, Copy, Default)]
 struct LearnedLimit {
-    /// The limit at present.
+    /// The soft limit at present.
     rate: f64,
-    /// The largest rate that this replica may need of the quota; 0 if there is no quota.
+    /// The largest rate that this replica may need of the quota, with a margin for random variation; 0 if
+    /// there is no quota.
     full_rate: f64,
-    /// The quota divided by the number of replicas; the maximum value if there is no quota.
+    /// The quota divided by the number of replicas; `f64::MAX` if there is no quota.
     fair_share: f64,
     /// The floor of `rate` in light congestion, which falls as congestion approaches overload: the fair
     /// share, for a single tenant with its margin for random variation. `None` if there is no quota.
     floor_rate: Option<f64>,
     /// The maximum of `rate`.
     ceiling: f64,
-    /// The moving average of the accepted rate, of which the floor without a quota is a fraction.
+    /// The moving average of the rate of accepted calls; without a quota, the floor is a fraction of it.
     mean_accepted_rate: f64,
 }
 
 impl LearnedLimit {
-    /// The limit for a quota. Quotas count requests of the first tier. Below it there are more calls than
-    /// requests, and a replica's fraction of a quota is unknown, so the limit starts unlimited.
+    /// The initial limit for a quota. Quotas count requests of the first tier. Below it there are more calls
+    /// than requests, and a replica's fraction of a quota is unknown, so the limit starts unlimited.
     fn new(settings: &Settings, quota: Option<f64>) -> Self {
         let Some(quota) = quota.filter(|&quota| settings.tier == 0 && quota > 0.0) else {
             return Self { rate: f64::MAX, fair_share: f64::MAX, ceiling: f64::MAX, ..Self::default() };
@@ -370,7 +408,7 @@
         }
     }
 
-    /// The limits of the tenants and, as the last element, the limit shared by all of them. The shared limit
+    /// The initial limits of the tenants and, as the last element, the limit shared by all. The shared limit
     /// starts at the largest rate that this replica may need for all tenants; congestion lowers it.
     fn all_limits(settings: &Settings) -> Vec<Self> {
         let quotas = settings.tenants.iter().map(|tenant| tenant.quota);
@@ -392,7 +430,8 @@
         limits
     }
 
-    /// This limit, with the fraction of its full rate that the replaced limit `old` had learned to accept.
+    /// This limit with the state learned by `old`, which it replaces: the rate as a fraction of the full
+    /// rate.
     fn with_learned_rate_of(self, old: &Self) -> Self {
         let rate = match (self.floor_rate, old.floor_rate) {
             (Some(_), Some(_)) => (self.full_rate * (old.rate / old.full_rate).max(0.0)).min(self.ceiling),
@@ -434,9 +473,9 @@
     }
 }
 
-/// How many times its fair share a replica may need. Of shares drawn at random, the largest is about the
-/// logarithm of their number times the mean, and a replica limited to exactly its fair share would deny calls
-/// that are within the quotas. A few replicas are assumed to be evenly loaded.
+/// How many times its fair share of a quota a replica may need. Of shares drawn at random, the largest is
+/// about the logarithm of their number times the mean, and a replica limited to exactly its fair share would
+/// deny calls that are within the quotas. A few replicas are assumed to be evenly loaded.
 fn load_imbalance_factor(replica_count: u32) -> f64 {
     f64::from(replica_count).ln().max(1.0)
 }
@@ -448,7 +487,7 @@
 
 // --- 3. Subset and selection ---
 
-/// The upstreams of the tier that this replica sends to.
+/// The upstreams of the tier that this replica sends to, and how its calls are divided between the zones.
 #[derive(Debug, Default)]
 struct Subset {
     /// The upstreams in this replica's zone.
@@ -461,24 +500,25 @@
     local_share: Option<f64>,
     /// Number of ready upstreams in the first list that had any.
     initial_ready_count: Option<usize>,
-    /// The fraction of the capacity of those that is still available; scales the shared limit.
+    /// The fraction of the capacity of the first list that is still available, which scales the limit shared
+    /// by all tenants.
     capacity_fraction: f64,
-    /// This replica's attempts in flight, also to upstreams outside the subset.
+    /// Number of this replica's attempts in flight, including those to upstreams outside the subset.
     in_flight: u32,
 }
 
-/// The upstreams of a subset in the local zone, or in all others together.
+/// The upstreams of a subset that are in the local zone, or those that are in all other zones together.
 #[derive(Debug, Default)]
 struct ZoneGroup {
-    /// The slots of the upstreams.
+    /// The slots (indices in [`Balancer::upstreams`]) of the group's upstreams.
     member_slots: Arc<[usize]>,
-    /// The moving average of the sends per second to each upstream that is not in slow start; those in slow
-    /// start get a fraction of it.
+    /// The moving average of the sends per second to each upstream that is warm, that is, not in slow start;
+    /// those in slow start get a fraction of it.
     warm_send_rate: f64,
-    /// Sends to upstreams not in slow start since the last periodic update.
+    /// Number of sends to warm upstreams since the last periodic update.
     warm_sends: u32,
-    /// The moving average of the duration of attempts over their latency target. Attempts that failed count
-    /// with their duration, and at least with the target unless they ended with an error response.
+    /// The moving average of the duration of attempts divided by their latency target. Attempts that failed
+    /// count with their duration, and at least with the target unless they ended with an error response.
     relative_latency: f64,
 }
 
@@ -520,7 +560,8 @@
     from_start.take(size.clamp(MIN_SUBSET_SIZE.min(count), count)).copied().collect()
 }
 
-/// The greatest common divisor; a stride coprime to the number of replicas gives each its own position.
+/// The greatest common divisor of two numbers. [`ring_subset`] needs it: a stride that is coprime to the
+/// number of replicas gives each replica its own position.
 fn greatest_common_divisor(a: u64, b: u64) -> u64 {
     if b == 0 { a } else { greatest_common_divisor(b, a % b) }
 }
@@ -530,39 +571,39 @@
 /// What this replica knows of an upstream.
 #[derive(Debug)]
 struct Upstream {
-    /// Its latest entry in the list.
+    /// The upstream's latest entry in the list.
     member: Member,
-    /// Whether the list contains it.
+    /// Whether the list contains the upstream.
     listed: bool,
-    /// Whether it is in this replica's zone.
+    /// Whether the upstream is in this replica's zone.
     is_local: bool,
-    /// This replica's attempts in flight to it.
+    /// Number of this replica's attempts in flight to the upstream.
     in_flight: u32,
-    /// Estimated number of open connections to it.
+    /// Estimated number of this replica's open connections to the upstream.
     connections: u32,
-    /// When a connection to it was last used.
+    /// When a connection to the upstream was last used, in seconds.
     last_used_at_s: f64,
-    /// When it last responded, or when the first attempt after an idle time was sent.
+    /// When the upstream last responded, or when the first attempt after an idle time was sent, in seconds.
     last_response_at_s: f64,
-    /// The moving average of its failures, 0 to 1.
+    /// The moving average of the upstream's failures, 0 to 1.
     failure_rate: f64,
-    /// Failed connects since its last response; time-outs neither add to nor reset it.
+    /// Number of failed connects since the upstream's last response; time-outs neither add to nor reset it.
     consecutive_connect_failures: u32,
-    /// The moving average of its latency as a multiple of the typical latency of the classes.
+    /// The moving average of the upstream's latency as a multiple of the typical latency of the classes.
     slowness: f64,
     /// Number of latencies that `slowness` was computed from.
     latency_samples: f64,
-    /// Until when outlier ejection excludes it.
+    /// Until when outlier ejection excludes the upstream, in seconds; in the past if it is not ejected.
     ejected_until_s: f64,
-    /// The duration of its next ejection, in seconds, before jitter.
+    /// The duration of the upstream's next ejection, in seconds, before its random factor.
     next_ejection_s: f64,
-    /// The factor on its selection probability after its return from ejection, up to 1.
+    /// The factor on the upstream's selection probability after its return from ejection, up to 1.
     return_probability: f64,
-    /// When the latest request that it has accepted was sent.
+    /// When the latest request that the upstream has accepted was sent, in seconds; `None` if there was none.
     last_accepted_send_s: Option<f64>,
-    /// Number of attempts that it may be sent while in slow start.
+    /// Number of attempts that the upstream may be sent while it is in slow start.
     slow_start_tokens: f64,
-    /// When the tokens were last refilled.
+    /// When `slow_start_tokens` was last refilled, in seconds.
     tokens_updated_at_s: f64,
 }
 
@@ -595,13 +636,13 @@
         *self = Self { in_flight, is_local, ..Self::new(self.member, now_s, rng) };
     }
 
-    /// Whether the list contains it as ready.
+    /// Whether the list contains the upstream as ready.
     fn is_usable(&self) -> bool {
         self.listed && self.member.phase == Phase::Ready
     }
 
-    /// The fraction of its capacity that it is certain to have: in slow start it rises at least linearly from
-    /// the minimum fraction.
+    /// The fraction of its capacity that the upstream is certain to have: in slow start it rises at least
+    /// linearly from the minimum fraction; afterwards it is 1.
     fn slow_start_fraction(&self, now_s: f64, settings: &Settings) -> f64 {
         let Some(started) = self.member.started_at else { return 1.0 };
         let age_s = (now_s - started.as_secs_f64()).max(0.0);
@@ -610,7 +651,7 @@
         (min_fraction + (1.0 - min_fraction) * age_s / duration.as_secs_f64().max(1e-6)).min(1.0)
     }
 
-    /// Whether it is neither ejected nor stalled, given the typical latency of the calls to send.
+    /// Whether the upstream is neither ejected nor stalled, given the typical latency of the calls to send.
     fn is_healthy(&self, now_s: f64, typical_latency_s: f64) -> bool {
         let stalled = self.in_flight > 0
             && now_s - self.last_response_at_s > (typical_latency_s * STALL_LATENCY_FACTOR).max(MIN_STALL_S);
@@ -625,8 +666,8 @@
                 || now_s - self.last_used_at_s < capabilities.keepalive_timeout.as_secs_f64())
     }
 
-    /// The load that another attempt would meet: this replica's attempts in flight, and a handshake if no
-    /// connection has a free stream.
+    /// The load that another attempt at the upstream would meet: this replica's attempts in flight, and a
+    /// handshake if no connection has a free stream.
     fn selection_cost(&self, now_s: f64, settings: &Settings) -> f64 {
         let needs_handshake =
             settings.costs.handshake > 0.0 && !self.has_stream_capacity(now_s, &settings.capabilities);
@@ -636,39 +677,41 @@
 
 // --- 5. Pending requests ---
 
-/// An attempt of a request.
+/// An attempt of a request: one send to one upstream.
 #[derive(Debug)]
 struct Attempt {
-    /// The slot of its upstream.
+    /// The slot (index in [`Balancer::upstreams`]) of the attempt's upstream.
     slot: usize,
     /// The upstream's list entry when the attempt was sent.
     member: Member,
+    /// When the attempt was sent, in seconds.
     sent_at_s: f64,
-    /// The time that it may take, in seconds.
+    /// The time that the attempt may take, in seconds.
     timeout_s: f64,
-    /// How it ended; `None` while it is in flight.
+    /// How the attempt ended; `None` while it is in flight.
     outcome: Option<Outcome>,
-    /// Whether its cancellation has been requested.
+    /// Whether the attempt's cancellation has been requested.
     cancelled: bool,
 }
 
 /// A request that has not ended or still has attempts in flight.
 #[derive(Debug)]
 struct PendingRequest {
+    /// The request's class.
     class: ClassId,
-    /// The idempotency of its class on arrival; non-idempotent if that has changed since.
+    /// The idempotency of the class when the request arrived; non-idempotent if that has changed since.
     idempotency: Idempotency,
-    /// The index of its tenant.
+    /// The index of the request's tenant.
     tenant: usize,
-    /// The time until which an answer still has a value.
+    /// The time until which an answer still has a value, in seconds.
     answer_deadline_s: f64,
-    /// All its attempts, in the order sent.
+    /// All attempts of the request, in the order sent.
     attempts: Vec<Attempt>,
-    /// Number of its attempts in flight.
+    /// Number of the request's attempts in flight.
     in_flight: u32,
-    /// Whether it has ended for the client.
+    /// Whether the request has ended for the client.
     ended: bool,
-    /// Whether a streamed response has begun.
+    /// Whether a streamed response to the request has begun.
     response_started: bool,
 }
 
@@ -692,10 +735,11 @@
 /// The pending requests, and the retry budgets.
 #[derive(Debug, Default)]
 struct PendingRequests {
+    /// The pending requests by id.
     pending_by_id: FxHashMap<RequestId, PendingRequest>,
-    /// The budget for retries of attempts that may have been executed.
+    /// The budget for retries of attempts that may have been executed, in retries.
     retry_tokens: f64,
-    /// The budget for retries of attempts that were certainly not executed.
+    /// The budget for retries of attempts that were certainly not executed, in retries.
     reroute_tokens: f64,
 }
 
@@ -704,12 +748,12 @@
 struct TypicalLatency {
     /// The moving average of the natural logarithm of the latency in seconds.
     ln_seconds: f64,
-    /// Number of latencies that it was computed from.
+    /// Number of latencies that the average was computed from.
     samples: f64,
 }
 
 impl TypicalLatency {
-    /// Adds the latency of a served call with this weight, which is limited and reduced under congestion.
+    /// Adds the latency of a served call to the average. `weight` is limited, and reduced under congestion.
     fn record_latency(&mut self, duration_s: f64, weight: f64, congested: bool) {
         self.samples += 1.0;
         let deviation = duration_s.ln() - self.ln_seconds;
@@ -736,11 +780,11 @@
 /// The state of the subscription to discovery.
 #[derive(Debug, Default)]
 struct DiscoverySubscription {
-    /// Whether it has delivered a list since it was opened.
+    /// Whether the subscription has delivered a list since it was opened.
     subscribed: bool,
-    /// When to open it next, unless it delivers a list before.
+    /// When to open the subscription again unless it has delivered a list by then, in seconds.
     retry_at_s: f64,
-    /// The present backoff between failed subscriptions.
+    /// The present backoff after a failed subscription, in seconds before its random factor.
     backoff_s: f64,
 }
 
@@ -749,37 +793,44 @@
 /// The state machine that makes the decisions of one replica of the balancer.
 #[derive(Debug)]
 pub struct Balancer {
+    /// The settings in force.
     settings: Settings,
+    /// The source of all random draws.
     rng: Rand64,
-    /// One per tenant and, as the last element, the one shared by all tenants.
+    /// The suppressors of the tenants and, as the last element, the one shared by all tenants.
     suppressors: Vec<Suppressor>,
-    /// The limits of the suppressors, in the same order.
+    /// The rate limits of the suppressors, in the order of `suppressors`.
     limits: Vec<LearnedLimit>,
+    /// The upstreams that this replica sends to.
     subset: Subset,
     /// The known upstreams; a slot is an index in this slab.
     upstreams: Slab<Upstream>,
+    /// The slot of each known upstream.
     slot_by_id: BTreeMap<UpstreamId, usize>,
     /// The slots of all usable upstreams of the tier.
     ready_slots: Vec<usize>,
-    /// The moving average of the congestion samples of recent calls.
+    /// The moving average of the congestion samples of recent calls; see [`MAX_CONGESTION_SAMPLE`].
     congestion: f64,
-    /// The same of the calls that were served.
+    /// The moving average of the congestion samples of those recent calls that were served.
     served_congestion: f64,
-    /// The earliest time at which congestion may decrease the limits again.
+    /// The earliest time at which congestion may decrease the limits again, in seconds.
     next_decrease_at_s: f64,
     /// The moving average of the failures of all upstreams, 0 to 1.
     tier_failure_rate: f64,
     /// The moving average of the slowness of all upstreams.
     tier_slowness: f64,
-    /// The slowness of each machine type measured; `None` stands for upstreams of unknown type. It is assumed
-    /// for an upstream that has not been measured yet.
+    /// The measured slowness of each machine type; `None` stands for upstreams of unknown type. An upstream
+    /// that has not been measured yet is assumed to be as slow as its type.
     machine_type_slowness: FxHashMap<Option<MachineTypeId>, f64>,
     /// The typical latency of each class.
     typical_latencies: Vec<TypicalLatency>,
+    /// The pending requests and the retry budgets.
     requests: PendingRequests,
+    /// The state of the subscription to discovery.
     subscription: DiscoverySubscription,
+    /// How far the list of upstreams may be used at present.
     list_trust: ListTrust,
-    /// The largest weight of the ready upstreams.
+    /// The largest weight of the ready upstreams; selection probabilities are relative to it.
     max_weight: f64,
 }
 
@@ -908,13 +959,13 @@
 
     // --- Discovery ---
 
-    /// Opens a new subscription at once, without a backoff.
+    /// Opens a new subscription to discovery at once, without a backoff.
     fn resubscribe(&mut self, now_s: f64, actions: &mut Vec<Action>) {
         self.subscription = DiscoverySubscription::default();
         self.subscribe(now_s, actions);
     }
 
-    /// Opens a subscription, if this site has them.
+    /// Opens a subscription to discovery if the site uses them.
     fn subscribe(&mut self, now_s: f64, actions: &mut Vec<Action>) {
         if self.settings.discovery == DiscoveryMode::Subscribe {
             actions.push(Action::SubscribeToDiscovery);
@@ -1106,7 +1157,7 @@
     }
 
     /// Picks an upstream for a request. If the request may have been executed and is deduplicated only within
-    /// a zone or cell, it picks one that shares that record; otherwise it picks by zone.
+    /// a zone or cell, it picks one in that zone or cell; otherwise it prefers zones by their shares.
     fn pick_upstream(&mut self, now_s: f64, id: RequestId) -> Option<usize> {
         let pending = self.requests.pending_by_id.get(&id)?;
         let (idempotency, first_possibly_executed) = (pending.idempotency, pending.first_possibly_executed());
@@ -1193,7 +1244,7 @@
         if upstream.latency_samples > 0.0 { upstream.slowness } else { machine_type_slowness() }
     }
 
-    /// The least busy upstream that may be sent to at all, for when the random draws found none.
+    /// The least busy upstream that may be sent to at all; used when the random draws have found none.
     fn pick_any_allowed(&mut self, now_s: f64, id: RequestId, slots: &[usize]) -> Option<usize> {
         let is_allowed = |&slot: &usize| {
             let upstream = &self.upstreams[slot];
@@ -1257,8 +1308,8 @@
             }
             _ => timeout_s,
         };
-        // Nor may the connection open after the list has ceased to be valid for this upstream, which could
-        // have begun to drain without this replica's knowledge.
+        // The connection must also not open after the list has ceased to be valid for this upstream, which
+        // could have begun to drain without this replica's knowledge.
         let trusted_for_s = self
             .list_trust
             .sends_allowed_until_s(upstream.last_accepted_send_s)
@@ -1350,8 +1401,8 @@
                     .map_or(attempt.sent_at_s, |accepted| accepted.max(attempt.sent_at_s)),
             );
         }
-        // Judged by the attempt's own duration: time lost before it, on connections or on other upstreams, is
-        // no sign of congestion at this upstream.
+        // Only the attempt's own duration counts: time lost before it, on connections or on other upstreams,
+        // is no sign of congestion at this upstream.
         let missed_latency_target = duration_s > self.settings.classes[class.0].latency_target.as_secs_f64();
         let (request_ended, none_in_flight) = (pending.ended || request_ended, pending.in_flight == 0);
         // An attempt with a timeout below the typical latency fails because of its short deadline. If such
@@ -1393,8 +1444,8 @@
         sent
     }
 
-    /// Updates the upstream's health and the latency of its zone group from an outcome; if the attempt had a
-    /// `short_deadline`, only the count of its attempts and connections.
+    /// Updates the upstream's health and the latency of its zone group from the outcome of an attempt. If the
+    /// attempt had a `short_deadline`, it updates only the numbers of attempts and connections.
     fn record_outcome(
         &mut self,
         now_s: f64,
@@ -1634,7 +1685,7 @@
     }
 }
 
-/// Whether the class's idempotency allows the request to be sent to `member` after the attempts so far.
+/// Whether the idempotency of a request allows it to be sent to `member` after the attempts so far.
 fn may_send_again(
     now_s: f64,
     idempotency: Idempotency,
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -75,9 +75,9 @@
     pub latency_target: Duration,
     /// How long a client waits in total (hard deadline).
     pub deadline: Duration,
-    /// The fraction of its value that a response after the latency target still earns, 0 to 1.
+    /// The fraction of the full value that a response after the latency target still earns, 0 to 1.
     pub late_value: f64,
-    /// Whether its requests may be executed more than once.
+    /// Whether requests of the class may be executed more than once.
     pub idempotency: Idempotency,
 }
 
@@ -133,25 +133,25 @@
     pub slow_start_min_fraction: f64,
     /// Time after its start at which an upstream has reached its full capacity at the latest.
     pub slow_start_duration: Duration,
-    /// An upstream in slow start fails under overload if it is sent more than this many times its present
-    /// capacity ...
+    /// Load, as a multiple of its present capacity, above which an upstream in slow start fails from overload
+    /// if it lasts for `overload_duration`.
     pub overload_factor: f64,
-    /// ... for this long.
+    /// How long an upstream in slow start must be sent more than `overload_factor` allows before it fails.
     pub overload_duration: Duration,
 }
 
 /// Costs to weigh when choosing an upstream, relative to the value of one request served in full.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Costs {
-    /// An attempt that is sent to another zone.
+    /// Cost of an attempt that is sent to another zone.
     pub cross_zone: f64,
-    /// The work of one request that is done for nothing.
+    /// Cost of work that an upstream does for one request without any use.
     pub wasted_work: f64,
-    /// A request that ends unserved after its latency target.
+    /// Cost of a request that ends unserved after its latency target.
     pub late_failure: f64,
-    /// Opening a connection.
+    /// Cost of opening a connection.
     pub handshake: f64,
-    /// A health check.
+    /// Cost of a health check.
     pub probe: f64,
 }
 
@@ -165,11 +165,11 @@
     pub replica_count: u32,
     /// The tier that requests are sent to; 0 is the tier that serves external clients.
     pub tier: usize,
-    /// This replica's zone.
+    /// The zone that this replica runs in; its upstreams are preferred.
     pub zone: ZoneId,
-    /// Number of zones.
+    /// Number of zones that the site has.
     pub zone_count: usize,
-    /// Number of machine types.
+    /// Number of machine types that upstreams of the site have.
     pub machine_type_count: usize,
     /// The classes of requests, at least one.
     pub classes: Vec<Class>,
@@ -322,6 +322,7 @@
     }
 }
 
+/// Checks that the named value is between `min` and `max`; NaN is out of range.
 fn check_range(value: f64, min: f64, max: f64, name: &'static str) -> Result<(), SettingsError> {
     if (min..=max).contains(&value) { Ok(()) } else { Err(SettingsError::OutOfRange(name)) }
 }
@@ -329,11 +330,11 @@
 /// The state of an upstream's process as discovery reports it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Phase {
-    /// It is running and accepts requests.
+    /// The upstream is running and accepts requests.
     Ready,
-    /// It finishes its requests in flight and accepts no new ones.
+    /// The upstream finishes its requests in flight and accepts no new ones.
     Draining,
-    /// It has been removed.
+    /// The upstream has been removed.
     Gone,
 }
 
@@ -342,17 +343,17 @@
 pub struct Member {
     /// The upstream's id.
     pub id: UpstreamId,
-    /// Its zone; `None` if the settings do not contain it.
+    /// The upstream's zone; `None` if the settings do not contain it.
     pub zone: Option<ZoneId>,
-    /// Its machine type; `None` if the settings do not contain it.
+    /// The upstream's machine type; `None` if the settings do not contain it.
     pub machine_type: Option<MachineTypeId>,
-    /// Its cell, which matters for classes that are deduplicated per cell.
+    /// The upstream's cell, which matters for classes that are deduplicated per cell.
     pub cell: u32,
-    /// The state of its process.
+    /// The state of the upstream's process.
     pub phase: Phase,
-    /// Its capacity relative to other upstreams; 1 if discovery does not report capacities.
+    /// The upstream's capacity relative to other upstreams; 1 if discovery does not report capacities.
     pub weight: f64,
-    /// When its process last started; `None` if that was long ago.
+    /// When the upstream's process last started; `None` if that was long ago.
     pub started_at: Option<Timestamp>,
 }
 
@@ -377,21 +378,21 @@
 /// How an attempt ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Outcome {
-    /// The upstream served it.
+    /// The upstream served the attempt.
     Good,
-    /// The upstream answered with an error; it may have been executed.
+    /// The upstream answered with an error; the attempt may have been executed.
     Error,
-    /// The upstream rejected it without looking at it; it was never executed.
+    /// The upstream rejected the attempt without processing it; it was never executed.
     Refused,
-    /// There was no answer in time; it may have been executed or still be running.
+    /// There was no answer in time; the attempt may have been executed or still be running.
     TimedOut,
-    /// No connection could be opened; it was never executed.
+    /// No connection could be opened; the attempt was never executed.
     ConnectFailed,
-    /// The connection broke; it may have been executed.
+    /// The connection broke; the attempt may have been executed.
     Reset,
-    /// The balancer cancelled it; it may have been executed.
+    /// The balancer cancelled the attempt; it may have been executed.
     Withdrawn,
-    /// It was never sent.
+    /// The attempt was never sent.
     NotSent,
 }
 
@@ -425,17 +426,17 @@
 pub struct Request {
     /// The request's id.
     pub id: RequestId,
-    /// Its class.
+    /// The request's class.
     pub class: ClassId,
-    /// Its tenant, if it has one.
+    /// The request's tenant, if it has one.
     pub tenant: Option<TenantId>,
     /// Identifies the resource that the request is about, if the site's requests carry such a key.
     pub resource_key: Option<u64>,
-    /// How much longer the client waits.
+    /// How much longer the client waits for the answer.
     pub time_left: Duration,
-    /// The work it is expected to take, as time on a standard core, if known.
+    /// The work that the request is expected to take, as time on a standard core, if known.
     pub expected_work: Option<Duration>,
-    /// Whether the client has marked it as a retry.
+    /// Whether the client has marked the request as a retry.
     pub is_retry: bool,
 }
 
@@ -446,9 +447,10 @@
     pub request: RequestId,
     /// The attempt's number within the request.
     pub attempt: AttemptNumber,
-    /// How it ended.
+    /// How the attempt ended.
     pub outcome: Outcome,
-    /// How long it took; on real sockets counted from when its connection was open, if it was.
+    /// How long the attempt took. On real sockets the time starts when its connection is open, if it was
+    /// opened.
     pub duration: Duration,
     /// Whether the request has ended, with this attempt or before.
     pub request_ended: bool,
@@ -461,7 +463,7 @@
 pub enum Event {
     /// The replica has started and may subscribe to discovery.
     Started,
-    /// Discovery has sent an update, or could not be asked.
+    /// Discovery has sent an update, or a call to it has failed.
     Discovery(DiscoveryUpdate),
     /// An update from discovery's former address, after [`Self::DiscoveryMoved`]: it is applied, but does not
     /// confirm the list.
@@ -493,7 +495,7 @@
         upstream: UpstreamId,
         /// How the health check ended.
         outcome: Outcome,
-        /// How long it took.
+        /// How long the health check took.
         duration: Duration,
         /// The upstream's load report, if the answer carried one.
         load: Option<LoadReport>,
--- a/src/list_trust.rs
+++ b/src/list_trust.rs
@@ -1,30 +1,31 @@
 //! How far the list of upstreams may be used while no subscription confirms it.
 //!
-//! The list is a lease: a change at discovery counts as delivered some time after it could have been asked
-//! for, whether or not it arrived (STANDING.md, section 'The whole fleet'). A replica that receives no
-//! updates from discovery cannot know what it has missed, so its list is valid only until a change could
-//! count as delivered. After that, an upstream is used only if it has recently accepted a request, which a
-//! draining upstream stops doing.
+//! The list is a lease: some time after a replica could have asked for a change at discovery, the rules treat
+//! the change as delivered, whether or not it arrived (STANDING.md, section 'The whole fleet'). A replica
+//! that receives no updates from discovery cannot know what it has missed, so its list is valid only until a
+//! change could count as delivered. After that, an upstream is used only if it has recently accepted a
+//! request, which a draining upstream stops doing.
 
 use std::time::Duration;
 
 use crate::interface::{DiscoveryMode, Rules};
 use crate::report::TrustLevel;
 
-/// Time after which a change at discovery counts as delivered even if calls have failed, in seconds
-/// (STANDING.md).
+/// Time after which the rules treat a change at discovery as delivered to this replica even if calls to
+/// discovery have failed, in seconds (STANDING.md).
 const DELIVERY_ASSUMED_S: f64 = 6.0;
-/// The same if a subscription has ended instead of delivering the change, unless a call has failed since: two
-/// seconds after the end of the wait (STANDING.md).
+/// Time after the end of a subscription at which the rules treat a change as delivered if the subscription
+/// has ended instead of delivering it, unless a call to discovery has failed since, in seconds (STANDING.md).
 const DELIVERY_ASSUMED_AFTER_END_S: f64 = 2.0;
-/// The same after discovery has moved to another address (TERMS, 'Reloading').
+/// Time after discovery has moved to another address at which the rules treat a change as delivered, in
+/// seconds (TERMS, 'Reloading').
 const DELIVERY_ASSUMED_AFTER_MOVE_S: f64 = 4.0;
 /// Time for which an accepted request allows further sends to its upstream, in seconds. Draining upstreams
 /// were observed to reject requests 1.3 to 2.4 s after discovery knew of the drain (journal, 34b5f5c4),
 /// which leaves much less than [`DELIVERY_ASSUMED_S`] after the last request that such an upstream accepts.
 const ACCEPTANCE_VALID_S: f64 = 2.0;
-/// Time for which the process may be paused between reading its clock and writing to a socket, in seconds
-/// (STANDING.md); it is subtracted from the drain grace.
+/// Maximum time for which the process may be paused between reading its clock and writing to a socket, in
+/// seconds (STANDING.md). It is subtracted from the drain grace.
 const MAX_PROCESS_PAUSE_S: f64 = 0.15;
 
 /// Whether the list is confirmed, and if not, until when it is valid.
@@ -36,16 +37,16 @@
     /// the first request, in which each upstream can accept one, but no longer than until a change made when
     /// the replica started counts as delivered.
     UnknownAge {
-        /// When the replica started.
+        /// When the replica started, in seconds.
         started_at_s: f64,
-        /// When it first sent a request, if it has.
+        /// When the replica first sent a request, in seconds; `None` if it has sent none.
         first_used_at_s: Option<f64>,
     },
     /// The subscription has been lost, so changes may have been missed.
     Unconfirmed {
-        /// Until when the list is valid.
+        /// Until when the list is valid, in seconds.
         valid_until_s: f64,
-        /// The same once a call to discovery has failed.
+        /// Until when the list is valid once a call to discovery has failed, in seconds.
         valid_until_if_call_failed_s: f64,
         /// Whether upstreams that have recently accepted a request may be used after `valid_until_s`. Not
         /// directly after a subscription has ended because of a change: a draining upstream goes on accepting
@@ -57,16 +58,17 @@
 /// Decides which upstreams of the list may be sent to.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct ListTrust {
+    /// Whether the list is confirmed, and if not, until when it is valid.
     state: ListState,
-    /// The drain grace less the time for which the process may be paused, in seconds.
+    /// The drain grace minus the time for which the process may be paused, in seconds.
     usable_drain_grace_s: f64,
     /// The level of trust when [`Self::level_changed`] was last called.
     reported_level: TrustLevel,
 }
 
 impl ListTrust {
-    /// The state before the first update from discovery: a list of unknown age or, if lists are pushed, a
-    /// confirmed one.
+    /// The trust before the first update from discovery: the list has an unknown age or, if lists are pushed,
+    /// is confirmed.
     pub(crate) fn new(now_s: f64, mode: DiscoveryMode, rules: &Rules) -> Self {
         let (state, level) = match mode {
             DiscoveryMode::Push => (ListState::Confirmed, TrustLevel::Confirmed),
@@ -77,7 +79,7 @@
         Self { state, usable_drain_grace_s: 0.0, reported_level: level }.with_rules(rules)
     }
 
-    /// The same state under changed rules.
+    /// Applies changed rules; the state of the list stays as it is.
     pub(crate) fn with_rules(self, rules: &Rules) -> Self {
         Self {
             usable_drain_grace_s: (rules.drain_grace.as_secs_f64() - MAX_PROCESS_PAUSE_S).max(0.0),
@@ -92,12 +94,12 @@
         }
     }
 
-    /// The subscription has delivered a list.
+    /// Confirms the list: the subscription has delivered one.
     pub(crate) fn subscription_confirmed(&mut self) {
         self.state = ListState::Confirmed;
     }
 
-    /// The subscription has ended, or a call to discovery has failed.
+    /// Handles the end of the subscription or a failed call to discovery.
     pub(crate) fn subscription_lost(&mut self, now_s: f64, rules: &Rules) {
         self.state = match self.state {
             ListState::Confirmed => {
@@ -127,8 +129,8 @@
         };
     }
 
-    /// The subscription was given up after it had delivered nothing for the time `silence`. Changes may have
-    /// been missed since its last update.
+    /// Handles a subscription that was given up after it had delivered nothing for the time `silence`.
+    /// Changes may have been missed since its last update.
     pub(crate) fn subscription_timed_out(&mut self, now_s: f64, silence: Duration, rules: &Rules) {
         if self.state != ListState::Confirmed {
             return self.subscription_lost(now_s, rules);
@@ -141,8 +143,9 @@
         };
     }
 
-    /// Nothing accepts connections at discovery's address: while discovery is down, its changes do not count
-    /// as delivered, so the time starts again with every such failure.
+    /// Handles a failure to connect to discovery. While nothing accepts connections at its address, its
+    /// changes do not count as delivered, so the time for which the list is valid starts again with every
+    /// such failure.
     pub(crate) fn discovery_unreachable(&mut self, now_s: f64) {
         let valid_until_s = now_s + DELIVERY_ASSUMED_S + self.usable_drain_grace_s;
         self.state = ListState::Unconfirmed {
@@ -152,7 +155,7 @@
         };
     }
 
-    /// Discovery has moved to another address. This never extends the time for which the list is valid.
+    /// Handles a move of discovery to another address. It never extends the time for which the list is valid.
     pub(crate) fn discovery_moved(&mut self, now_s: f64) {
         let delivery_assumed_at_s = now_s + DELIVERY_ASSUMED_AFTER_MOVE_S + self.usable_drain_grace_s;
         self.state = match self.state {
@@ -172,8 +175,8 @@
         };
     }
 
-    /// Until when an upstream of the list may be sent to, given when the latest request that it accepted was
-    /// sent; `None` without a limit.
+    /// Until when an upstream of the list may be sent to, in seconds, given when the latest request that it
+    /// accepted was sent; `None` without a limit.
     pub(crate) fn sends_allowed_until_s(&self, last_accepted_send_s: Option<f64>) -> Option<f64> {
         let valid_until_s = self.list_valid_until_s()?;
         let accepted_until_s = last_accepted_send_s
@@ -199,8 +202,8 @@
         (std::mem::replace(&mut self.reported_level, level) != level).then_some(level)
     }
 
-    /// Until when the whole list is valid, whether or not its upstreams have accepted requests; `None` while
-    /// it is confirmed.
+    /// Until when the whole list is valid, in seconds, whether or not its upstreams have accepted requests;
+    /// `None` while it is confirmed.
     fn list_valid_until_s(&self) -> Option<f64> {
         match self.state {
             ListState::Confirmed => None,
--- a/src/report.rs
+++ b/src/report.rs
@@ -7,9 +7,9 @@
 /// Why a request was ended unserved.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum UnservedReason {
-    /// The rate limits did not admit it.
+    /// The rate limits did not admit the request.
     Suppressed,
-    /// No upstream could be sent to.
+    /// There was no upstream that the request could be sent to.
     NoUpstream,
     /// The last attempt ended with this outcome, and no further attempt was made.
     AttemptFailed(Outcome),
@@ -20,11 +20,12 @@
 pub enum TrustLevel {
     /// A subscription confirms the list.
     Confirmed,
-    /// No subscription confirms the list, but no change can count as delivered yet.
+    /// No subscription confirms the list, but it is still used, because no change that the replica may have
+    /// missed counts as delivered yet.
     Held,
-    /// Only upstreams that have just accepted a request are used.
+    /// The list is no longer valid: only upstreams that have recently accepted a request are used.
     Proved,
-    /// No upstream is used until discovery has answered.
+    /// The list is no longer valid, and no upstream is used until discovery has answered.
     Expired,
 }
 
