--- a/simulator/src/host.rs
+++ b/simulator/src/host.rs
@@ -34,27 +34,35 @@
 /// An entry of a list of upstreams. Its zone and machine type are kept as names, because instances that
 /// share the list may give them different indices.
 struct ListEntry {
+    /// The name of the upstream's zone.
     zone: String,
+    /// The name of the upstream's machine type.
     machine_type: String,
+    /// The upstream, without its zone and machine type.
     member: Member,
 }
 
 /// A balancer instance with the requests that it has not finished.
 struct Instance {
+    /// The state machine that makes the instance's decisions.
     balancer: Balancer,
+    /// The names in the instance's settings, with their indices.
     names: Names,
-    /// The ids of the tracked requests by their id on the wire.
+    /// The ids of the tracked requests by their id in the line protocol, the ticket.
     ids_by_ticket: FxHashMap<Box<str>, RequestId>,
+    /// The requests that later messages or actions may still refer to.
     tracked_requests: FxHashMap<RequestId, TrackedRequest>,
+    /// The number that the next request gets as its id.
     next_request_id: u64,
 }
 
 /// A request that later messages or actions may still refer to.
 struct TrackedRequest {
-    /// Its id on the wire.
+    /// The request's id in the line protocol.
     ticket: Box<str>,
+    /// Number of the request's attempts in flight.
     attempts_in_flight: u32,
-    /// Whether it has ended for the client.
+    /// Whether the request has ended for the client.
     ended: bool,
 }
 
@@ -80,15 +88,15 @@
     lists: FxHashMap<u32, Vec<ListEntry>>,
     /// The list that was sent last, and the number of its entries that have not arrived yet.
     unfinished_list: Option<(u32, usize)>,
-    /// The time of the latest batch.
+    /// The time of the latest batch, which is the present time for all instances.
     now: Duration,
     /// The number of the batch being read.
     current_batch: Option<String>,
-    /// The instance that the events are for.
+    /// The number of the instance that the events being read are for.
     target_instance: Option<u32>,
-    /// The instance that the latest output of this batch belongs to.
+    /// The number of the instance that the latest output of this batch belongs to.
     last_output_instance: Option<u32>,
-    /// The actions that the present event has caused.
+    /// The actions that the event being processed has caused.
     actions: Vec<Action>,
 }
 
@@ -119,6 +127,7 @@
         }
     }
 
+    /// Processes a line of input: the start or end of a batch, a part of a list, or an event.
     fn handle_line(&mut self, text: &str, output: &mut impl Write) -> Result<LineResult, LineError> {
         let (name, rest) = match text.split_once('\t') {
             Some((name, rest)) => (name, Some(rest)),
@@ -167,6 +176,7 @@
         Ok(LineResult::Done)
     }
 
+    /// Processes a `TURN` line, which starts a batch and sets the time.
     fn start_batch(&mut self, mut fields: Fields) -> Result<(), LineError> {
         if self.current_batch.is_some() {
             return Err(LineError::OutsideBatch("a TURN line must be"));
@@ -185,6 +195,7 @@
         Ok(())
     }
 
+    /// Processes an `INVENTORY` line, which announces the entries of a list.
     fn start_list(&mut self, mut fields: Fields) -> Result<(), LineError> {
         let list = fields.number("buffer")?;
         let count: usize = fields.number("membersList")?;
@@ -194,6 +205,7 @@
         Ok(())
     }
 
+    /// Processes an `M` line, which is an entry of the announced list.
     fn add_list_entry(&mut self, mut fields: Fields) -> Result<(), LineError> {
         let Some((list, missing)) = self.unfinished_list.filter(|&(_, missing)| missing > 0) else {
             return Err(LineError::EntryOutsideList);
@@ -223,6 +235,7 @@
         Ok(())
     }
 
+    /// Passes an event to an instance, or creates or destroys the instance.
     fn handle_event(
         &mut self,
         instance_number: u32,
@@ -296,6 +309,7 @@
         Ok(())
     }
 
+    /// Processes a `START` message, which creates an instance with its settings and seed.
     fn start_instance(&mut self, instance_number: u32, mut fields: Fields) -> Result<(), LineError> {
         let seed = fields.number("nonce64")?;
         let ParsedSettings { settings, names, .. } = setup::parse_settings(fields.remainder("setup")?)?;
@@ -312,6 +326,7 @@
         Ok(())
     }
 
+    /// Writes the pending actions of an instance, preceded by its number where that has changed.
     fn write_actions(&mut self, instance_number: u32, output: &mut impl Write) -> io::Result<()> {
         if self.actions.is_empty() {
             return Ok(());
@@ -333,7 +348,7 @@
 
 /// The effect of a valid line of input.
 enum LineResult {
-    /// The line needs nothing further.
+    /// The line has been processed and needs nothing further.
     Done,
     /// A batch has ended, so the output must be flushed.
     BatchEnded,
@@ -342,6 +357,7 @@
 }
 
 impl LineResult {
+    /// The result of writing output: `on_success` unless it has failed.
     fn from_write(result: io::Result<()>, on_success: Self) -> Self {
         result.map_or_else(Self::OutputFailed, |()| on_success)
     }
@@ -367,6 +383,7 @@
     }
 }
 
+/// Parses a `PEERS_KNOWN` message: an update of the list of upstreams, or its failure.
 fn parse_list_update(
     lists: &FxHashMap<u32, Vec<ListEntry>>,
     names: &Names,
@@ -396,6 +413,7 @@
     }))
 }
 
+/// Parses an `ASK` message, a new request, and starts to track the request.
 fn parse_request(instance: &mut Instance, fields: &mut Fields) -> Result<Event, LineError> {
     const EXPECTED_WORK_VALID_BIT: u32 = 1;
     const RETRY_BIT: u32 = 2;
@@ -433,6 +451,7 @@
     }))
 }
 
+/// Parses an `ATTEMPT_END` message; `None` if its request is no longer tracked.
 fn parse_attempt_end(instance: &mut Instance, fields: &mut Fields) -> Result<Option<Event>, LineError> {
     let id = instance.ids_by_ticket.get(fields.text("ticket")?).copied();
     let attempt = AttemptNumber(fields.number("n")?);
@@ -449,6 +468,7 @@
     Ok(Some(Event::AttemptEnded(AttemptEnded { request, attempt, outcome, duration, request_ended, load })))
 }
 
+/// Parses the load report of an upstream; `None` if the message carries none.
 fn parse_load_report(names: &Names, fields: &mut Fields) -> Result<Option<LoadReport>, LineError> {
     let Some(text) = fields.optional("stats")? else { return Ok(None) };
     let mut report = LoadReport::default();
@@ -476,7 +496,7 @@
     }
 }
 
-/// Records the sends and ends of requests that the balancer has asked for.
+/// Records the sends and the ends of requests among the actions.
 fn track_actions(instance: &mut Instance, actions: &[Action]) {
     for action in actions {
         let Some(tracked) = request_of(action).and_then(|id| instance.tracked_requests.get_mut(&id)) else {
@@ -490,6 +510,7 @@
     }
 }
 
+/// Writes an action as a line of output.
 fn write_action(instance: &Instance, action: &Action, output: &mut impl Write) -> io::Result<()> {
     let tracked = request_of(action).and_then(|id| instance.tracked_requests.get(&id));
     let ticket = tracked.map_or("-", |tracked| &*tracked.ticket);
@@ -515,6 +536,7 @@
     }
 }
 
+/// Writes a duration in seconds, or `-` for none, and ends the line.
 fn write_seconds(duration: Option<Duration>, output: &mut impl Write) -> io::Result<()> {
     match duration {
         Some(duration) => writeln!(output, "{:.6}", duration.as_secs_f64()),
--- a/simulator/src/lib.rs
+++ b/simulator/src/lib.rs
@@ -1,5 +1,5 @@
 //! The adapter between the simulator and the decision library: it hosts balancer instances on the
-//! simulator's line protocol and parses the settings object, which the real balancer reads as well.
+//! simulator's line protocol and parses the settings object, which the proxy reads as well.
 
 mod host;
 pub mod setup;
--- a/simulator/src/setup.rs
+++ b/simulator/src/setup.rs
@@ -1,6 +1,6 @@
 //! Parses the settings of a balancer instance from JSON into the [`Settings`] of the decision library.
 //!
-//! The first message of the simulator and the configuration of a real balancer contain the same object, so
+//! The `START` message of the simulator and the configuration of a real balancer contain the same object, so
 //! both programs use this module.
 
 use std::time::Duration;
@@ -91,7 +91,7 @@
     NonIdempotent,
 }
 
-/// How lists of upstreams arrive: pushed (`automatic`) or by subscription.
+/// How lists of upstreams arrive: pushed (`automatic`) or by subscription (`subscribe`).
 #[derive(Deserialize)]
 #[serde(rename_all = "lowercase")]
 enum DiscoveryJson {
@@ -109,7 +109,7 @@
     quota_per_s: Option<f64>,
 }
 
-/// What calls from tier to tier carry.
+/// What calls from tier to tier carry, the object `familyInfo`.
 #[derive(Deserialize, Default)]
 #[serde(rename_all = "camelCase", default)]
 struct InterTierCallsJson {
@@ -117,7 +117,7 @@
     propagate_deadline: bool,
 }
 
-/// What the site supports and permits.
+/// What the site supports and permits, the object `caps`.
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
 struct CapabilitiesJson {
@@ -143,7 +143,7 @@
     connect_timeout_s: f64,
 }
 
-/// Parameters of the rules that the site enforces.
+/// Parameters of the rules that the site enforces, the object `rules`.
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
 struct RulesJson {
@@ -163,7 +163,7 @@
     overload_duration_s: f64,
 }
 
-/// Costs to weigh when choosing an upstream.
+/// Costs to weigh when choosing an upstream, the object `prices`.
 #[derive(Deserialize, Default)]
 #[serde(rename_all = "camelCase", default)]
 struct CostsJson {
@@ -176,25 +176,30 @@
     probe: f64,
 }
 
-/// What load reports contain.
+/// What the load reports of upstreams contain, the object `loadInfo`.
 #[derive(Deserialize, Default)]
 #[serde(rename_all = "camelCase", default)]
 struct LoadReportsJson {
+    /// The names of the values, in the order in which they are sent.
     fields: Vec<String>,
 }
 
+/// The default of `overShareWorth`: requests beyond the quota keep their full value.
 fn default_over_quota_value() -> f64 {
     1.0
 }
 
+/// The default of `keepaliveS`, in seconds.
 fn default_keepalive_timeout_s() -> f64 {
     15.0
 }
 
+/// The default of `dialTimeoutS`, in seconds.
 fn default_connect_timeout_s() -> f64 {
     0.25
 }
 
+/// The default of `multiplex`, in attempts per connection.
 fn default_max_concurrent_streams() -> u32 {
     100
 }
@@ -221,7 +226,7 @@
     pub settings: Settings,
     /// The names behind the indices in `settings`.
     pub names: Names,
-    /// The maximum time for opening a connection.
+    /// The maximum time for opening a connection to an upstream.
     pub connect_timeout: Duration,
 }
 
@@ -307,6 +312,7 @@
     Ok(ParsedSettings { settings, names, connect_timeout })
 }
 
+/// Converts a class of the JSON settings to that of the decision library.
 fn parse_class(class: &ClassJson) -> Result<Class, SetupError> {
     let idempotency = match class.idempotency {
         IdempotencyJson::Idempotent => Idempotency::Idempotent,
@@ -329,10 +335,12 @@
     })
 }
 
+/// Converts seconds to a duration; `name` is the key that an error names.
 fn parse_seconds(name: &str, seconds: f64) -> Result<Duration, SetupError> {
     Duration::try_from_secs_f64(seconds).map_err(|_| invalid_value(name, &seconds.to_string()))
 }
 
+/// The error for an invalid value of the key `name`.
 fn invalid_value(name: &str, value: &str) -> SetupError {
     SetupError::InvalidValue { name: name.to_owned(), value: value.to_owned() }
 }
--- a/simulator/src/wire.rs
+++ b/simulator/src/wire.rs
@@ -8,13 +8,13 @@
 
 use crate::setup::SetupError;
 
-/// Why a line of input cannot be accepted.
+/// Why a line of the simulator's input cannot be accepted.
 #[derive(Debug, Error)]
 pub enum LineError {
     /// The line is not valid UTF-8.
     #[error("not UTF-8 text")]
     NotUtf8,
-    /// The line ends before this field, or the field is empty.
+    /// The line ends before the named field, or the field is empty.
     #[error("value {field} is missing")]
     MissingField {
         /// The field's name.
@@ -34,7 +34,8 @@
     /// The protocol has no message of this name.
     #[error("unknown message {0:?}")]
     UnknownMessage(String),
-    /// A line that must be in a batch is outside, or the reverse; holds the start of the error text.
+    /// A line that must be within a batch is outside of one, or the reverse; holds the start of the error
+    /// text.
     #[error("{0} outside a batch")]
     OutsideBatch(&'static str),
     /// The input has ended before the end of a batch.
@@ -76,10 +77,12 @@
 
 /// The tab-separated fields of a line, parsed from left to right.
 pub struct Fields<'a> {
+    /// The fields that have not been parsed yet; `None` at the end of the line.
     rest: Option<&'a str>,
 }
 
 impl<'a> Fields<'a> {
+    /// The fields of a line after the name of its message; `None` if there are none.
     pub fn new(rest: Option<&'a str>) -> Self {
         Self { rest }
     }
@@ -143,10 +146,12 @@
     LineError::InvalidField { field, value: value.chars().take(80).collect() }
 }
 
+/// Parses a duration in seconds; `None` if it is not a valid one.
 fn parse_seconds(value: &str) -> Option<Duration> {
     Duration::try_from_secs_f64(value.parse().ok()?).ok()
 }
 
+/// Parses the outcome of an attempt or a health check.
 pub fn parse_outcome(value: &str) -> Result<Outcome, LineError> {
     Ok(match value {
         "GOOD" => Outcome::Good,
@@ -161,6 +166,7 @@
     })
 }
 
+/// Parses the state of an upstream's process.
 pub fn parse_phase(value: &str) -> Result<Phase, LineError> {
     Ok(match value {
         "Ready" => Phase::Ready,
--- a/simulator/tests/transcripts.rs
+++ b/simulator/tests/transcripts.rs
@@ -11,6 +11,7 @@
     success: bool,
 }
 
+/// Runs the adapter as a process with the given standard input.
 fn run_adapter(input: &[u8]) -> AdapterRun {
     let mut child = Command::new(env!("CARGO_BIN_EXE_stilelead-simulator"))
         .stdin(Stdio::piped())
@@ -61,6 +62,7 @@
     )
 }
 
+/// Guards against treating input without any events as an error.
 #[test]
 fn empty_input_and_an_empty_batch_are_accepted() {
     let result = run_adapter(b"");
@@ -68,6 +70,8 @@
     assert_eq!(run_adapter(b"TURN\t8.41225\t17\nYOUR_TURN\n").stdout, "READY\t17\n");
 }
 
+/// Guards against wrong output for a request that is served, and against output that belongs to another
+/// batch.
 #[test]
 fn a_request_is_sent_and_answered() {
     let input = first_batch()
@@ -83,6 +87,8 @@
     assert_eq!(lines[6..], ["READY\t2", "READY\t3"]);
 }
 
+/// Guards against retrying a non-idempotent request that may have been executed, or reporting it as safe to
+/// retry.
 #[test]
 fn an_error_of_a_non_idempotent_request_fails_it() {
     let input = first_batch()
@@ -92,6 +98,8 @@
     assert!(run_adapter(input.as_bytes()).stdout.ends_with("INSTANCE\t4\nABORT\treq-1\nREADY\t3\n"));
 }
 
+/// Guards against failing a request that was never executed instead of rerouting it or saying that a retry is
+/// safe.
 #[test]
 fn a_refused_attempt_is_rerouted_and_then_the_request_is_refused() {
     let mut input = first_batch() + "TURN\t101\t2\nTO\t4\n" + REQUEST;
@@ -207,6 +215,8 @@
     assert_eq!(one_process, group_by_instance(&three_processes));
 }
 
+/// Guards against accepting malformed input, or rejecting it without saying which line and value are at
+/// fault.
 #[test]
 fn malformed_input_is_reported_with_its_line_number() {
     let prefix = first_batch();
@@ -251,6 +261,7 @@
     }
 }
 
+/// Guards against starting an instance with invalid settings, or rejecting them without naming the value.
 #[test]
 fn invalid_settings_are_reported_by_name() {
     for (original, replacement, message) in [
--- a/src/decide.rs
+++ b/src/decide.rs
@@ -93,12 +93,12 @@
 /// Weight of one periodic update in the moving average of the accepted call rate.
 const MEAN_RATE_EWMA_WEIGHT: f64 = 0.02;
 /// Minimum fraction of a tier's capacity that is assumed to be available when the shared limit is scaled. If
-/// less seems to be left, for example because more upstreams are ejected, the whole tier has a problem and no
-/// servers have been lost.
+/// less seems to be left because more upstreams are ejected, the cause is assumed to be a problem of the
+/// whole tier and not lost servers.
 const MIN_CAPACITY_FRACTION: f64 = 0.5;
 /// Fraction by which the remaining upstreams of a tier may exceed their part of the load while there is no
-/// congestion, because quotas do not tell the capacity. This does harm where the quotas are all that the tier
-/// can serve, until the congestion shows.
+/// congestion, because quotas do not tell the capacity. Where the tier can serve no more than the quotas,
+/// this does harm until the congestion shows.
 const SPARE_CAPACITY_FRACTION: f64 = 0.5;
 /// How much longer calls to the local zone must take than calls to other zones before more calls leave it, as
 /// a fraction of their latency targets. It exceeds the noise of some twenty calls;
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -9,6 +9,7 @@
 /// The time at which the simulated clocks start; its value does not matter.
 pub const START: Duration = Duration::from_secs(1000);
 
+/// A duration in milliseconds.
 pub fn millis(ms: u64) -> Duration {
     Duration::from_millis(ms)
 }
@@ -34,8 +35,10 @@
 /// A balancer with a simulated clock, whose timer is delivered as the clock advances.
 pub struct Harness {
     pub balancer: Balancer,
+    /// The time of the simulated clock.
     pub now: Duration,
     next_request_id: u64,
+    /// When the balancer's timer is due.
     next_timer_at: Duration,
 }
 
@@ -77,12 +80,13 @@
         self.now = end;
     }
 
-    /// Submits a request of the first class and returns the actions that follow.
+    /// Submits a request of the first class whose client waits for 3 s, and returns the actions that follow.
     pub fn submit(&mut self, tenant: Option<usize>) -> (RequestId, Vec<Action>) {
         self.submit_with_time_left(tenant, millis(3000))
     }
 
-    /// The same for a client that waits for the given time.
+    /// Submits a request of the first class whose client waits for `time_left`, and returns the actions that
+    /// follow.
     pub fn submit_with_time_left(
         &mut self,
         tenant: Option<usize>,
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -9,14 +9,15 @@
 use stilelead_decision::Settings;
 use stilelead_decision::interface::*;
 
+/// Number of upstreams of the simulated tier.
 const UPSTREAMS: u32 = 12;
 /// Number of upstreams, from id 0, that restart at the same time and enter slow start.
 const RESTARTED_UPSTREAMS: u32 = 3;
-/// Simulated time per step.
+/// Simulated time by which the clock of the fleet advances per step.
 const STEP: Duration = Duration::from_millis(5);
-/// Time before the restart.
+/// Simulated time before some upstreams restart.
 const WARM_UP: Duration = Duration::from_secs(8);
-/// Time after the restart for which requests are recorded.
+/// Simulated time after the restart of the upstreams for which requests are recorded.
 const OBSERVATION: Duration = Duration::from_secs(8);
 
 /// The size of a fleet and its load.
@@ -27,6 +28,7 @@
     requests_per_s: f64,
     /// The outcome of requests sent to upstreams in slow start.
     slow_start_outcome: Outcome,
+    /// The seed of the arrivals and, plus the replica's index, of each replica.
     seed: u64,
 }
 
@@ -36,6 +38,7 @@
     sent_at: Duration,
 }
 
+/// The settings of one replica of the fleet.
 fn settings(scenario: FleetScenario, replica_index: u32) -> Settings {
     let mut settings = Settings::single_zone(vec![class(Idempotency::Idempotent)]);
     (settings.replica_index, settings.replica_count) = (replica_index, scenario.replica_count);
--- a/tests/list_trust.rs
+++ b/tests/list_trust.rs
@@ -8,7 +8,7 @@
 use stilelead_decision::interface::*;
 use stilelead_decision::{Action, Balancer, Event, Settings};
 
-/// The drain grace of the settings (300 ms) less the time for which the process may be paused (150 ms).
+/// The drain grace of the settings (300 ms) minus the time for which the process may be paused (150 ms).
 const USABLE_DRAIN_GRACE: Duration = Duration::from_millis(150);
 
 /// Settings under which replicas must poll discovery.
@@ -25,7 +25,8 @@
     Harness::new(settings, 11, (0..members).map(member).collect())
 }
 
-/// Whether a request is sent now. It is cancelled at once, so that it does not count as accepted.
+/// Submits a request and returns whether it is sent. The request is abandoned at once, so that it does not
+/// count as accepted by its upstream.
 fn can_send(harness: &mut Harness) -> bool {
     let (id, actions) = harness.submit(None);
     let can_send_now = sent_to(&actions).is_some();
@@ -34,7 +35,7 @@
     can_send_now
 }
 
-/// How long requests are still sent, with the resolution of a step; `None` if they do not stop within
+/// How long the replica still sends requests, in steps of 10 ms; `None` if it does not stop within
 /// `max_wait`.
 fn time_until_sends_stop(harness: &mut Harness, max_wait: Duration) -> Option<Duration> {
     let (start, step) = (harness.now, millis(10));
@@ -93,8 +94,8 @@
     assert!(!can_send(&mut harness));
 }
 
-/// Guards against counting from when a silent subscription was given up: changes may have been missed since
-/// its last update.
+/// Guards against using the list for too long after a silent subscription: changes may have been missed since
+/// its last update, not only since it was given up.
 #[test]
 fn a_silent_subscription_counts_as_lost_from_its_last_update() {
     let mut harness = subscribed(settings(), 3);
@@ -106,6 +107,8 @@
     );
 }
 
+/// Guards against an outage when discovery fails for long: upstreams that go on accepting requests must stay
+/// in use. It also guards against sends to a draining upstream, which has begun to reject requests.
 #[test]
 fn upstreams_that_accept_requests_stay_in_use_and_those_that_reject_them_do_not() {
     let mut harness = subscribed(settings(), 2);
@@ -148,7 +151,7 @@
     let mut harness = with_stale_list();
     harness.advance(millis(3000));
     assert_stops_at(time_until_sends_stop(&mut harness, millis(60_000)), millis(2000));
-    // By now, changes made before the start count as delivered.
+    // Changes made before the start now count as delivered.
     let mut harness = with_stale_list();
     harness.advance(millis(6000) + USABLE_DRAIN_GRACE);
     assert!(!can_send(&mut harness));
@@ -174,6 +177,8 @@
     assert_stops_at(time_until_sends_stop(&mut harness, millis(60_000)), millis(2000) + USABLE_DRAIN_GRACE);
 }
 
+/// Guards against using the list for too long after discovery has moved: a change counts as delivered four
+/// seconds later, whether or not the new address has answered.
 #[test]
 fn changes_count_as_delivered_four_seconds_after_discovery_moved() {
     let mut harness = subscribed(settings(), 3);
--- a/tests/pick.rs
+++ b/tests/pick.rs
@@ -10,11 +10,12 @@
 use stilelead_decision::interface::*;
 use stilelead_decision::{Action, Settings};
 
+/// Settings of a single replica with one idempotent class.
 fn settings() -> Settings {
     Settings::single_zone(vec![class(Idempotency::Idempotent)])
 }
 
-/// The upstreams that a replica uses for 400 requests.
+/// The ids of the upstreams that a replica uses for 400 requests.
 fn upstreams_used(replica_index: u32, replica_count: u32, upstream_count: u32) -> Vec<u32> {
     let settings = Settings { replica_index, replica_count, ..settings() };
     let mut harness =
@@ -51,11 +52,14 @@
     }
 }
 
+/// Guards against a replica that uses no upstreams because its index is not below the configured replica
+/// count.
 #[test]
 fn a_replica_index_above_the_replica_count_still_gets_a_subset() {
     assert!(!upstreams_used(17, 5, 30).is_empty());
 }
 
+/// Guards against requests that wait until their deadline although no upstream can serve them.
 #[test]
 fn requests_are_refused_immediately_without_upstreams() {
     let mut harness = Harness::new(settings(), 1, Vec::new());
@@ -83,8 +87,9 @@
     );
 }
 
-/// Runs requests whose attempts end as `upstream_0` says at upstream 0 and in `other_latency_ms` at the
-/// others. Returns the fraction whose first attempt went to upstream 0.
+/// Runs requests whose attempts at upstream 0 end with the outcome and after the milliseconds in
+/// `upstream_0`; the others serve them in `other_latency_ms`. Returns the fraction whose first attempt went
+/// to upstream 0.
 fn first_attempt_share(
     harness: &mut Harness,
     requests: u32,
@@ -115,8 +120,8 @@
     assert!(recovered_share > 0.1, "{recovered_share} of the requests went to it after it had recovered");
 }
 
-/// Guards against ignoring latency: with one request at a time, nothing is in flight when an upstream is
-/// picked, so only its latency shows that it is slow.
+/// Guards against ignoring the latency of upstreams: with one request at a time, nothing is in flight when an
+/// upstream is picked, so only its latency shows that it is slow.
 #[test]
 fn a_slow_upstream_gets_fewer_requests() {
     let mut harness = Harness::new(settings(), 3, (0..5).map(member).collect());
@@ -164,8 +169,8 @@
     f64::from(local_requests) / f64::from(requests)
 }
 
-/// Guards against overload at the start: all requests stayed in the local zone, and a congested zone was
-/// overloaded within 2 s.
+/// Guards against overload when replicas start: all requests stayed in the local zone, and a congested zone
+/// was overloaded within 2 s.
 #[test]
 fn the_first_tier_starts_evenly_spread_and_then_prefers_the_local_zone() {
     let mut harness = two_zones(0, 0.1);
--- a/tests/reconfigure.rs
+++ b/tests/reconfigure.rs
@@ -22,7 +22,7 @@
     harness.handle(Event::SettingsChanged(Box::new(settings.clone())))
 }
 
-/// Submits a request of the given class and tenant.
+/// Submits a request of the given class and tenant, and returns the actions that follow.
 fn submit(harness: &mut Harness, id: u64, class: usize, tenant: usize) -> Vec<Action> {
     harness.handle(Event::Request(Request {
         id: RequestId(1_000_000 + id),
@@ -35,7 +35,8 @@
     }))
 }
 
-/// Submits requests at the given rate and returns the fraction that is admitted.
+/// Submits requests at the given rate, ends each admitted one with `outcome`, and returns the fraction
+/// admitted.
 fn admitted_fraction(
     harness: &mut Harness,
     tenant: usize,
@@ -62,6 +63,8 @@
     admitted as f64 / f64::from(requests)
 }
 
+/// Guards against a new quota that has no effect until the next start, and against losing what the limit has
+/// learned about congestion.
 #[test]
 fn a_changed_quota_applies_and_keeps_the_learned_fraction() {
     let members = || (0..4).map(member).collect();
@@ -119,6 +122,7 @@
     );
 }
 
+/// Guards against refusing requests of a class or tenant that was added while the replica runs.
 #[test]
 fn a_new_class_and_a_new_tenant_are_served() {
     let mut harness = Harness::new(settings(25.0 / 3.0), 5, (0..4).map(member).collect());
@@ -135,6 +139,7 @@
     assert!(old < 0.5 && new > 0.95, "{old} of the old tenant's requests admitted, {new} of the new one's");
 }
 
+/// Guards against a change of settings that ends requests in flight or shortens their deadlines.
 #[test]
 fn requests_in_flight_continue_and_keep_their_deadlines() {
     let mut harness = Harness::new(settings(1000.0), 5, (0..4).map(member).collect());
@@ -163,6 +168,7 @@
     }
 }
 
+/// Guards against a change of settings that makes a replica forget which upstreams fail.
 #[test]
 fn an_ejected_upstream_stays_ejected() {
     let mut harness = Harness::new(settings(1000.0), 3, (0..6).map(member).collect());
@@ -185,6 +191,7 @@
     }
 }
 
+/// Guards against uneven load after a fleet has grown or shrunk while its replicas run.
 #[test]
 fn a_changed_replica_count_recomputes_the_subset() {
     let upstreams_used = |harness: &mut Harness| {
@@ -211,6 +218,8 @@
     }
 }
 
+/// Guards against preferring the former zone, or against sending all requests to the new zone before anything
+/// is known of its latency.
 #[test]
 fn a_changed_zone_becomes_the_local_zone() {
     let members = || (0..16).map(|id| Member { zone: Some(ZoneId(id as usize % 2)), ..member(id) }).collect();
@@ -250,6 +259,8 @@
     harness.end_attempt(id, 0, outcome, millis(10))
 }
 
+/// Guards against executing a request twice because the idempotency of its class changed while it was in
+/// flight.
 #[test]
 fn idempotency_rules_are_not_relaxed_for_requests_in_flight() {
     let deduplicated =
@@ -287,6 +298,7 @@
     );
 }
 
+/// Guards against applying the former idempotency of a class to requests that arrive after the change.
 #[test]
 fn requests_after_a_change_follow_the_new_idempotency() {
     for (old, new) in [
@@ -304,6 +316,8 @@
     }
 }
 
+/// Guards against settings that would make indices in use invalid, and against applying a part of rejected
+/// settings.
 #[test]
 fn replacements_that_remove_entries_are_rejected_and_change_nothing() {
     let mut current = settings(1000.0);
@@ -341,6 +355,8 @@
     assert_eq!(reduced(|_| {}).validate_replacement_of(&current), Ok(()));
 }
 
+/// Guards against a replica that waits for the former, longer interval before it subscribes to discovery
+/// again.
 #[test]
 fn a_shorter_poll_interval_applies_immediately() {
     let mut polling = settings(1000.0);
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -38,12 +38,15 @@
 struct ChangeSettings {
     /// The class whose idempotency and late value change.
     class: usize,
+    /// The new idempotency of the class.
     idempotency: Idempotency,
+    /// The new late value of the class.
     late_value: f64,
     max_attempts: u32,
     replica_count: u32,
     replica_index: u32,
     zone: usize,
+    /// The new quota of the last tenant; `None` for an unknown quota.
     quota: Option<u32>,
     hedging: bool,
     cancellation: bool,
@@ -52,6 +55,7 @@
     append_entries: bool,
 }
 
+/// Generates the idempotency of a class.
 fn idempotency() -> impl Strategy<Value = Idempotency> {
     let scope = prop_oneof![Just(DedupScope::All), Just(DedupScope::Zone), Just(DedupScope::Cell)];
     prop_oneof![
@@ -62,6 +66,7 @@
     ]
 }
 
+/// Generates a change of the settings.
 fn change_settings() -> impl Strategy<Value = ChangeSettings> {
     let capabilities = (1u32..5, any::<bool>(), any::<bool>(), 1_000u64..20_000);
     let replica = (1u32..9, 0u32..9, 0usize..2);
@@ -89,6 +94,7 @@
     )
 }
 
+/// Generates the outcome of an attempt. Time-outs are absent because the simulation delivers them itself.
 fn outcome() -> impl Strategy<Value = Outcome> {
     prop_oneof![
         4 => Just(Outcome::Good),
@@ -100,6 +106,7 @@
     ]
 }
 
+/// Generates a step; the numbers before the arrows are relative frequencies.
 fn step() -> impl Strategy<Value = Step> {
     let phase = prop_oneof![3 => Just(Phase::Ready), 1 => Just(Phase::Draining), 1 => Just(Phase::Gone)];
     prop_oneof![
@@ -142,24 +149,26 @@
     Member { zone: Some(ZoneId(id as usize % 2)), cell: id / 3, ..common::member(id) }
 }
 
-/// An attempt as the oracle sees it.
+/// What the oracle records of an attempt.
 struct Attempt {
     upstream: UpstreamId,
     sent_at: Duration,
+    /// When the attempt times out unless it has ended.
     timeout_at: Duration,
+    /// How the attempt ended; `None` while it is in flight.
     outcome: Option<Outcome>,
 }
 
-/// A request as the oracle sees it.
+/// What the oracle records of a request.
 struct RequestState {
     class: usize,
-    /// All values of its class's idempotency since it was submitted.
+    /// All values that the idempotency of its class has had since the request was submitted.
     idempotencies: Vec<Idempotency>,
     deadline: Duration,
     attempts: Vec<Attempt>,
-    /// Number of times that the balancer has refused or failed it.
+    /// Number of times that the balancer has refused or failed the request.
     final_answers: u32,
-    /// Whether its end was reported by an outcome or because the client disconnected.
+    /// Whether the request has ended with a response or because the client disconnected.
     ended: bool,
 }
 
@@ -169,7 +178,9 @@
     settings: Settings,
     now: Duration,
     requests: BTreeMap<RequestId, RequestState>,
+    /// The latest list of upstreams from discovery.
     list: BTreeMap<UpstreamId, Member>,
+    /// When the balancer's timer is due.
     timer_at: Option<Duration>,
     /// Since when the replica has had no subscription and has not tried to open one.
     unsubscribed_since: Option<Duration>,
@@ -193,6 +204,7 @@
         simulation
     }
 
+    /// Passes an event to the balancer and checks the actions that follow.
     fn handle(&mut self, event: Event) {
         let mut actions = Vec::new();
         self.balancer.handle(self.now, event, &mut actions);
@@ -201,6 +213,7 @@
         }
     }
 
+    /// Checks an action against the rules and records it.
     fn check_action(&mut self, action: Action) {
         match action {
             Action::Send { request, upstream, timeout, start_within } => {
@@ -341,6 +354,7 @@
         all_attempts.filter(|(.., outcome)| outcome.is_none()).map(|(id, number, _)| (id, number)).collect()
     }
 
+    /// Reports the end of an attempt; the request must then have another attempt in flight or have ended.
     fn end_attempt(&mut self, request: RequestId, attempt: usize, outcome: Outcome) {
         let state = self.requests.get_mut(&request).expect("the request has been submitted");
         state.attempts[attempt].outcome = Some(outcome);
@@ -364,6 +378,7 @@
         );
     }
 
+    /// Delivers a full list from discovery or, if `stale`, an outdated copy of one.
     fn replace_list(&mut self, members: Vec<Member>, stale: bool) {
         self.list = members.iter().map(|member| (member.id, *member)).collect();
         if !stale {
@@ -373,6 +388,7 @@
         self.handle(Event::Discovery(update));
     }
 
+    /// Changes the settings of the balancer.
     fn change_settings(&mut self, new: &ChangeSettings) {
         let settings = &mut self.settings;
         settings.classes[new.class].idempotency = new.idempotency;
@@ -400,6 +416,7 @@
         self.check_poll_interval();
     }
 
+    /// Carries out a step of the sequence of events.
     fn apply_step(&mut self, step: Step) {
         match step {
             Step::Advance(ms) => self.advance(millis(ms)),
@@ -592,6 +609,7 @@
     assert_eq!(run_events(), run_events());
 }
 
+/// Guards against breaking a response that is already being streamed to the client.
 #[test]
 fn a_started_response_stream_is_neither_cancelled_nor_retried() {
     let mut simulation = Simulation::new(settings(false, false), 3);
@@ -603,6 +621,8 @@
     assert_eq!(actions, []);
 }
 
+/// Guards against accepting settings under which the balancer would panic or never send, and against errors
+/// that do not name the invalid value.
 #[test]
 fn invalid_settings_return_typed_errors() {
     let error_with = |change: fn(&mut Settings)| {
--- a/tests/suppressor.rs
+++ b/tests/suppressor.rs
@@ -1,4 +1,5 @@
-//! Tests of the suppressor against the probabilities of its source page, and of the learned limits.
+//! Tests of the suppressor against the probabilities in the published description of the suppression strategy
+//! that it follows (the source page), and of the learned rate limits.
 
 mod common;
 
@@ -15,8 +16,8 @@
     Harness::new(settings, 5, (0..4).map(member).collect())
 }
 
-/// Submits requests at the given rate for `duration_s` seconds. Returns the fraction that is admitted after
-/// the first `warm_up_s` seconds.
+/// Submits requests at the given rate for `duration_s` seconds and ends each admitted one with `outcome`.
+/// Returns the fraction of requests that is admitted after the first `warm_up_s` seconds.
 fn admitted_fraction(
     harness: &mut Harness,
     requests_per_s: f64,
@@ -39,14 +40,16 @@
     f64::from(admitted) / f64::from(offered)
 }
 
+/// Guards against denying any request of a tenant that stays within its limit.
 #[test]
 fn all_requests_below_the_limit_are_admitted() {
     assert_eq!(admitted_fraction(&mut limited_to_10_per_s(), 8.0, 10.0, 60.0, Outcome::Good), 1.0);
 }
 
-/// Guards against wrong admission probabilities. The source page gives limit over rate, which applies while
-/// the window is at its soft limit; when random variation keeps it below, all requests are admitted, so
-/// slightly more are admitted than the page says.
+/// Guards against wrong admission probabilities. The published description of the suppression strategy (the
+/// source page) gives limit over rate, which applies while the window is at its soft limit. When random
+/// variation keeps the window below it, all requests are admitted, so slightly more are admitted than the
+/// page says.
 #[test]
 fn admission_probabilities_match_the_source_page() {
     for (requests_per_s, expected) in [(12.0, 0.833), (14.0, 0.714), (15.0, 0.667), (50.0, 0.2)] {
@@ -60,12 +63,14 @@
     }
 }
 
+/// Guards against admitting a part of a flood: above the hard limit, the suppressor denies every request.
 #[test]
 fn all_requests_above_the_hard_limit_are_denied() {
     let admitted = admitted_fraction(&mut limited_to_10_per_s(), 400.0, 5.0, 20.0, Outcome::Good);
     assert_eq!(admitted, 0.0);
 }
 
+/// Guards against denied requests that reach an upstream or use up the limit of later ones.
 #[test]
 fn a_denied_request_is_not_sent_and_does_not_count_as_accepted() {
     let mut harness = limited_to_10_per_s();
@@ -255,15 +260,15 @@
     assert!(denied_with_errors(5, 28) > denied_without_errors + 20, "{denied_without_errors}");
 }
 
-/// Guards against ignoring rejections: servers rejected two of five attempts without any effect on the
-/// limits, because the requests were rerouted.
+/// Guards against ignoring rejections as a sign of congestion: servers rejected two of five attempts without
+/// any effect on the limits, because the requests were rerouted.
 #[test]
 fn two_rejections_of_the_same_request_lower_the_limit() {
     assert!(denied_after_rejections(2, Outcome::Refused, 20) > 10);
 }
 
-/// Guards against noticing congestion too late: a target of four typical latencies is missed only after the
-/// servers have stopped serving.
+/// Guards against noticing congestion too late: a latency target of four typical latencies is missed only
+/// after the servers have stopped serving.
 #[test]
 fn latencies_far_above_typical_lower_the_limit_before_the_target_is_missed() {
     assert!(denied_after_rejections(0, Outcome::Refused, 150) > 10);
@@ -309,8 +314,7 @@
 
 /// Guards against the sum of many small limits exceeding the capacity, as in an incident: the margins for
 /// random variation added up to a fifth more than the tier could serve, and without overload the limits of
-/// single tenants never fell below
-/// these margins.
+/// single tenants never fell below these margins.
 #[test]
 fn congestion_limits_all_tenants_together_to_their_fair_shares() {
     let mut settings = Settings::single_zone(vec![class(Idempotency::Idempotent)]);
