--- a/src/decide.rs
+++ b/src/decide.rs
@@ -206,13 +206,13 @@
 const MIN_LATENCY_S: f64 = 1e-4;
 /// Congestion sample of a call that failed or missed its latency target, and the maximum sample of other
 /// calls. Other calls count with the natural logarithm of their latency over the typical one, roughly the
-/// number of doublings, so that a few heavy calls count little and a general delay counts much.
+/// number of doublings, so that a few expensive calls count little and a general delay counts much.
 const MAX_CONGESTION_SAMPLE: f64 = 2.0;
 /// Minimum congestion sample, which calls that are much faster than typical have.
 const MIN_CONGESTION_SAMPLE: f64 = -1.0;
-/// Failure rate of the tier, 0 to 1, from which an error counts as congestion further down and not as one bad
-/// upstream. The served calls must be slower as well: faults also make calls fail, and fewer calls do not
-/// repair them.
+/// Failure rate of the tier, 0 to 1, from which an error counts as congestion in the tiers below and not as
+/// one bad upstream. The served calls must be slower as well: faults also make calls fail, and fewer calls do
+/// not repair them.
 const CONGESTION_TIER_FAILURE_RATE: f64 = 0.1;
 /// Minimum time that must be left until the answer deadline for an attempt to be sent, in seconds.
 const MIN_ATTEMPT_TIMEOUT_S: f64 = 0.001;
@@ -278,6 +278,7 @@
 }
 
 impl Suppressor {
+    /// A suppressor that has counted no calls.
     fn new(bucket_s: f64) -> Self {
         Self { bucket_s, ..Self::default() }
     }
@@ -413,20 +414,21 @@
     fn all_limits(settings: &Settings) -> Vec<Self> {
         let quotas = settings.tenants.iter().map(|tenant| tenant.quota);
         let mut limits: Vec<_> = quotas.clone().map(|quota| Self::new(settings, quota)).collect();
-        let mut shared = Self::new(settings, quotas.sum());
-        if shared.floor_rate.is_some()
+        let mut shared_limit = Self::new(settings, quotas.sum());
+        if shared_limit.floor_rate.is_some()
             && limits.len() > 1
             && settings.over_quota_value < UNCAPPED_MIN_OVER_QUOTA_VALUE
         {
-            let fair_share = shared.fair_share;
+            let fair_share = shared_limit.fair_share;
             let rate = fair_share * load_imbalance_factor(settings.replica_count);
             let ceiling = rate.max(
                 fair_share
                     * (1.0 + MAX_EXCESS_FRACTION * fair_share / (fair_share + HALF_EXCESS_CALLS_PER_S)),
             );
-            shared = Self { rate, full_rate: rate, floor_rate: Some(fair_share), ceiling, ..shared };
+            shared_limit =
+                Self { rate, full_rate: rate, floor_rate: Some(fair_share), ceiling, ..shared_limit };
         }
-        limits.push(shared);
+        limits.push(shared_limit);
         limits
     }
 
@@ -538,7 +540,7 @@
             .clamp(self.local_upstream_fraction, 1.0);
     }
 
-    /// Number of upstreams in the subset.
+    /// Number of upstreams in the subset, in all zones.
     fn size(&self) -> usize {
         self.local.member_slots.len() + self.remote.member_slots.len()
     }
@@ -608,6 +610,7 @@
 }
 
 impl Upstream {
+    /// An upstream that has just appeared in the list and of which nothing is known yet.
     fn new(member: Member, now_s: f64, rng: &mut Rand64) -> Self {
         Self {
             member,
@@ -721,7 +724,7 @@
         self.attempts.iter().find(|attempt| attempt.outcome.is_none_or(|outcome| !outcome.never_ran()))
     }
 
-    /// Cancels the attempts in flight except the given one.
+    /// Cancels the request's attempts in flight except the given one.
     fn cancel_attempts(&mut self, id: RequestId, except: Option<AttemptNumber>, actions: &mut Vec<Action>) {
         for (number, attempt) in (0..).map(AttemptNumber).zip(&mut self.attempts) {
             if Some(number) != except && attempt.outcome.is_none() && !attempt.cancelled {
@@ -732,7 +735,7 @@
     }
 }
 
-/// The pending requests, and the retry budgets.
+/// The requests that have not ended or still have attempts in flight, and the budgets for retries.
 #[derive(Debug, Default)]
 struct PendingRequests {
     /// The pending requests by id.
@@ -1172,8 +1175,8 @@
         let allowed = |&&slot: &&usize| {
             may_send_again(now_s, idempotency, first_possibly_executed, &self.upstreams[slot].member)
         };
-        let members: Vec<usize> = self.ready_slots.iter().filter(allowed).copied().collect();
-        self.pick_less_busy(now_s, id, &members)
+        let allowed_slots: Vec<usize> = self.ready_slots.iter().filter(allowed).copied().collect();
+        self.pick_less_busy(now_s, id, &allowed_slots)
     }
 
     /// Picks from the local zone or, with the probability that the local share leaves, from the other zones;
@@ -1194,18 +1197,18 @@
     /// both are busier than the average of the subset, another two are drawn, up to [`MAX_PAIRS`] times: many
     /// replicas that each see few calls would otherwise overload a server by chance.
     fn pick_less_busy(&mut self, now_s: f64, id: RequestId, slots: &[usize]) -> Option<usize> {
-        let mut best: Option<usize> = None;
-        let average = f64::from(self.subset.in_flight) / self.subset.size().max(1) as f64;
+        let mut least_busy: Option<usize> = None;
+        let average_in_flight = f64::from(self.subset.in_flight) / self.subset.size().max(1) as f64;
         for _ in 0..MAX_PAIRS {
             let pair = [self.draw_candidate(now_s, id, slots), self.draw_candidate(now_s, id, slots)];
-            let cost = |slot: &usize| self.upstreams[*slot].selection_cost(now_s, &self.settings);
-            let drawn = best.into_iter().chain(pair.into_iter().flatten());
-            best = drawn.min_by(|one, other| cost(one).total_cmp(&cost(other)));
-            if best.is_none_or(|best| cost(&best) <= average) {
+            let cost_of = |slot: &usize| self.upstreams[*slot].selection_cost(now_s, &self.settings);
+            let candidates = least_busy.into_iter().chain(pair.into_iter().flatten());
+            least_busy = candidates.min_by(|one, other| cost_of(one).total_cmp(&cost_of(other)));
+            if least_busy.is_none_or(|slot| cost_of(&slot) <= average_in_flight) {
                 break;
             }
         }
-        best
+        least_busy
     }
 
     /// Draws up to [`MAX_DRAWS`] random slots until one is accepted, with a probability that depends on its
@@ -1251,9 +1254,9 @@
             self.list_trust.allows_send(now_s, upstream.last_accepted_send_s)
                 && !self.requests.already_tried(id, upstream.member.id)
         };
-        let mut remaining: Vec<usize> = slots.iter().copied().filter(is_allowed).collect();
-        remaining.sort_by_key(|&slot| self.upstreams[slot].in_flight);
-        remaining.into_iter().find(|&slot| self.slow_start_allows(now_s, slot))
+        let mut allowed_slots: Vec<usize> = slots.iter().copied().filter(is_allowed).collect();
+        allowed_slots.sort_by_key(|&slot| self.upstreams[slot].in_flight);
+        allowed_slots.into_iter().find(|&slot| self.slow_start_allows(now_s, slot))
     }
 
     /// Whether an upstream in slow start has a token for another attempt; others always do. Its tokens arrive
@@ -1483,8 +1486,8 @@
         let unreachable = upstream.consecutive_connect_failures >= UNREACHABLE_CONNECT_FAILURES;
         upstream.failure_rate += FAILURE_EWMA_WEIGHT * (f64::from(u8::from(failed)) - upstream.failure_rate);
         // A failed connect or a refusal concerns this upstream alone. If it counted for the tier, the many
-        // upstreams behind a broken link would look like congestion further down, and none of them would be
-        // ejected.
+        // upstreams behind a broken link would look like congestion in the tiers below, and none of them
+        // would be ejected.
         if !matches!(outcome, Outcome::ConnectFailed | Outcome::Refused) {
             self.tier_failure_rate +=
                 TIER_EWMA_WEIGHT * (f64::from(u8::from(failed)) - self.tier_failure_rate);
@@ -1516,9 +1519,9 @@
             if counts_as_late { duration_s.max(latency_target_s) } else { duration_s } / latency_target_s;
         group.relative_latency += ZONE_LATENCY_EWMA_WEIGHT * (relative_latency - group.relative_latency);
         if failed {
-            let ejected = self.eject_if_failing(now_s, slot, unreachable);
+            let ejection = self.eject_if_failing(now_s, slot, unreachable);
             let upstream = self.upstreams[slot].member.id;
-            actions.extend(ejected.map(|duration| Action::Report(Report::Ejected { upstream, duration })));
+            actions.extend(ejection.map(|duration| Action::Report(Report::Ejected { upstream, duration })));
         }
     }
 
@@ -1554,15 +1557,15 @@
         // All tenants share one estimate because they call the same tier, and a small tenant's own calls are
         // too few to detect overload in time.
         let shared_index = self.settings.tenants.len();
-        let rate = self.suppressors[shared_index].accepted_rate(now_s);
-        let weight = (1.0 / (rate * CONGESTION_WINDOW_S)).min(MAX_CONGESTION_SAMPLE_WEIGHT);
-        self.congestion += weight * (sample - self.congestion);
+        let accepted_rate = self.suppressors[shared_index].accepted_rate(now_s);
+        let sample_weight = (1.0 / (accepted_rate * CONGESTION_WINDOW_S)).min(MAX_CONGESTION_SAMPLE_WEIGHT);
+        self.congestion += sample_weight * (sample - self.congestion);
         let congested = self.congestion > CONGESTION_THRESHOLD;
         if outcome == Outcome::Good {
-            self.served_congestion += weight * (sample - self.served_congestion);
+            self.served_congestion += sample_weight * (sample - self.served_congestion);
             self.typical_latencies[class.0].record_latency(
                 duration_s.max(MIN_LATENCY_S),
-                1.0 / (rate * TYPICAL_LATENCY_WINDOW_S),
+                1.0 / (accepted_rate * TYPICAL_LATENCY_WINDOW_S),
                 congested,
             );
         }
@@ -1595,10 +1598,10 @@
             return None;
         }
         let group = if upstream.is_local { &self.subset.local } else { &self.subset.remote };
-        let ejected =
+        let ejected_count =
             group.member_slots.iter().filter(|&&slot| self.upstreams[slot].ejected_until_s > now_s).count();
         if !unreachable
-            && (ejected + 1) as f64 > (group.member_slots.len() as f64 * MAX_EJECTED_FRACTION).max(1.0)
+            && (ejected_count + 1) as f64 > (group.member_slots.len() as f64 * MAX_EJECTED_FRACTION).max(1.0)
         {
             return None;
         }
@@ -1642,7 +1645,7 @@
         }
         // Quotas assume the whole tier. While some of its upstreams are gone, in slow start or ejected, the
         // full quotas would overload the others.
-        let capacity = |&slot: &usize| {
+        let available_fraction = |&slot: &usize| {
             let upstream = &self.upstreams[slot];
             if upstream.ejected_until_s > now_s {
                 0.0
@@ -1651,8 +1654,9 @@
             }
         };
         let Subset { local, remote, initial_ready_count, .. } = &self.subset;
-        let members = local.member_slots.iter().chain(&*remote.member_slots);
-        let subset_capacity = members.map(capacity).sum::<f64>() / self.subset.size().max(1) as f64;
+        let member_slots = local.member_slots.iter().chain(&*remote.member_slots);
+        let subset_capacity =
+            member_slots.map(available_fraction).sum::<f64>() / self.subset.size().max(1) as f64;
         let ready_fraction = self.ready_slots.len() as f64 / initial_ready_count.unwrap_or(1) as f64;
         // 1 up to half of the congestion threshold, falling to 0 at the threshold.
         let headroom = 2.0 * (1.0 - self.congestion / CONGESTION_THRESHOLD).clamp(0.0, 0.5);
--- a/src/list_trust.rs
+++ b/src/list_trust.rs
@@ -51,7 +51,7 @@
         /// Whether upstreams that have recently accepted a request may be used after `valid_until_s`. Not
         /// directly after a subscription has ended because of a change: a draining upstream goes on accepting
         /// requests for a while, so acceptance proves nothing then.
-        acceptance_counts: bool,
+        trusts_recent_acceptance: bool,
     },
 }
 
@@ -114,7 +114,7 @@
                 ListState::Unconfirmed {
                     valid_until_s,
                     valid_until_if_call_failed_s: delivery_assumed_at_s,
-                    acceptance_counts: !must_poll,
+                    trusts_recent_acceptance: !must_poll,
                 }
             }
             ListState::UnknownAge { .. } => self.state,
@@ -123,7 +123,7 @@
                 ListState::Unconfirmed {
                     valid_until_s,
                     valid_until_if_call_failed_s,
-                    acceptance_counts: true,
+                    trusts_recent_acceptance: true,
                 }
             }
         };
@@ -139,7 +139,7 @@
         self.state = ListState::Unconfirmed {
             valid_until_s,
             valid_until_if_call_failed_s: valid_until_s,
-            acceptance_counts: true,
+            trusts_recent_acceptance: true,
         };
     }
 
@@ -151,7 +151,7 @@
         self.state = ListState::Unconfirmed {
             valid_until_s,
             valid_until_if_call_failed_s: valid_until_s,
-            acceptance_counts: true,
+            trusts_recent_acceptance: true,
         };
     }
 
@@ -162,16 +162,18 @@
             ListState::Confirmed => ListState::Unconfirmed {
                 valid_until_s: delivery_assumed_at_s,
                 valid_until_if_call_failed_s: delivery_assumed_at_s,
-                acceptance_counts: true,
+                trusts_recent_acceptance: true,
             },
             ListState::UnknownAge { .. } => self.state,
-            ListState::Unconfirmed { valid_until_s, valid_until_if_call_failed_s, acceptance_counts } => {
-                ListState::Unconfirmed {
-                    valid_until_s: valid_until_s.min(delivery_assumed_at_s),
-                    valid_until_if_call_failed_s: valid_until_if_call_failed_s.min(delivery_assumed_at_s),
-                    acceptance_counts,
-                }
-            }
+            ListState::Unconfirmed {
+                valid_until_s,
+                valid_until_if_call_failed_s,
+                trusts_recent_acceptance,
+            } => ListState::Unconfirmed {
+                valid_until_s: valid_until_s.min(delivery_assumed_at_s),
+                valid_until_if_call_failed_s: valid_until_if_call_failed_s.min(delivery_assumed_at_s),
+                trusts_recent_acceptance,
+            },
         };
     }
 
@@ -180,7 +182,7 @@
     pub(crate) fn sends_allowed_until_s(&self, last_accepted_send_s: Option<f64>) -> Option<f64> {
         let valid_until_s = self.list_valid_until_s()?;
         let accepted_until_s = last_accepted_send_s
-            .filter(|_| self.acceptance_counts())
+            .filter(|_| self.trusts_recent_acceptance())
             .map(|last_accepted_send_s| last_accepted_send_s + ACCEPTANCE_VALID_S);
         Some(accepted_until_s.map_or(valid_until_s, |accepted_until_s| accepted_until_s.max(valid_until_s)))
     }
@@ -196,7 +198,7 @@
         let level = match self.list_valid_until_s() {
             None => TrustLevel::Confirmed,
             Some(valid_until_s) if now_s < valid_until_s => TrustLevel::Held,
-            Some(_) if self.acceptance_counts() => TrustLevel::Proved,
+            Some(_) if self.trusts_recent_acceptance() => TrustLevel::Proved,
             Some(_) => TrustLevel::Expired,
         };
         (std::mem::replace(&mut self.reported_level, level) != level).then_some(level)
@@ -219,10 +221,10 @@
 
     /// Whether upstreams that have recently accepted a request may be used after the list has ceased to be
     /// valid.
-    fn acceptance_counts(&self) -> bool {
+    fn trusts_recent_acceptance(&self) -> bool {
         match self.state {
             ListState::Confirmed | ListState::UnknownAge { .. } => true,
-            ListState::Unconfirmed { acceptance_counts, .. } => acceptance_counts,
+            ListState::Unconfirmed { trusts_recent_acceptance, .. } => trusts_recent_acceptance,
         }
     }
 }
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -28,7 +28,7 @@
     requests_per_s: f64,
     /// The outcome of requests sent to upstreams in slow start.
     slow_start_outcome: Outcome,
-    /// The seed of the arrivals and, plus the replica's index, of each replica.
+    /// The seed of the arrivals of requests; each replica gets this seed plus its index.
     seed: u64,
 }
 
--- a/tests/pick.rs
+++ b/tests/pick.rs
@@ -253,7 +253,7 @@
 }
 
 /// Guards against early time-outs: retrying slow attempts before the latency target added work just when
-/// servers reached their limit, which alone cost 0.07 at one deployment.
+/// servers reached their limit, which alone lowered the result of one deployment by 0.07.
 #[test]
 fn an_attempt_does_not_time_out_before_the_latency_target() {
     let mut harness = Harness::new(settings(), 3, (0..8).map(member).collect());
--- a/tests/reconfigure.rs
+++ b/tests/reconfigure.rs
@@ -132,8 +132,8 @@
     extended.tenants.push(Tenant { quota: Some(100.0) });
     apply_settings(&mut harness, &extended);
     assert!(sent_to(&submit(&mut harness, 1, 1, 1)).is_some());
-    // Each tenant has its own limit: requests of the new one are admitted while those of the old one are
-    // denied.
+    // Each tenant has its own limit: requests of the new one are admitted while most of those of the
+    // old one are denied.
     let old = admitted_fraction(&mut harness, 0, 40.0, 400, Outcome::Good);
     let new = admitted_fraction(&mut harness, 1, 40.0, 400, Outcome::Good);
     assert!(old < 0.5 && new > 0.95, "{old} of the old tenant's requests admitted, {new} of the new one's");
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -188,6 +188,7 @@
 }
 
 impl Simulation {
+    /// A started balancer that has received a list of eight ready upstreams.
     fn new(settings: Settings, seed: u64) -> Self {
         let mut simulation = Self {
             balancer: Balancer::new(settings.clone(), seed).expect("the settings are valid"),
--- a/tests/suppressor.rs
+++ b/tests/suppressor.rs
@@ -175,8 +175,8 @@
     assert_eq!(denied_after_rejections(1, Outcome::ConnectFailed, 20), 0);
 }
 
-/// Guards against taking a failed connect for congestion, as found on test day zone+brink: requests missed
-/// their target because a connection did not open, although another upstream then served them at once.
+/// Guards against taking a failed connect for congestion, as found in the test scenario zone+brink: requests
+/// missed their target because a connection did not open, although another upstream then served them at once.
 #[test]
 fn requests_delayed_by_a_failed_connect_do_not_lower_the_limit() {
     let mut settings = Settings::single_zone(vec![class(Idempotency::Idempotent)]);
@@ -205,9 +205,9 @@
     }
 }
 
-/// Guards against ejecting upstreams because of occasional connect failures, as found on test day zone+brink:
-/// a third of the connects failed, and most upstreams at a time counted as unreachable although they answered
-/// on other connections, so the limits shrank as if the tier were smaller.
+/// Guards against ejecting upstreams because of occasional connect failures, as found in the test scenario
+/// zone+brink: a third of the connects failed, and most upstreams at a time counted as unreachable although
+/// they answered on other connections, so the limits shrank as if the tier were smaller.
 #[test]
 fn occasional_connect_failures_do_not_lower_the_limits() {
     let mut settings = Settings::single_zone(vec![class(Idempotency::Idempotent)]);
@@ -250,9 +250,9 @@
     denied
 }
 
-/// Guards against taking faults for congestion, as found on test day zone+brink: a fifth of the requests
-/// failed because of faults further down, while nearly idle servers served the others as fast as before, and
-/// the limits fell to their floors. If latency rises as well, errors do count as congestion.
+/// Guards against taking faults for congestion, as found in the test scenario zone+brink: a fifth of the
+/// requests failed because of faults in the tiers below, while nearly idle servers served the others as fast
+/// as before, and the limits fell to their floors. If latency rises as well, errors do count as congestion.
 #[test]
 fn errors_without_slower_responses_do_not_lower_the_limit() {
     assert_eq!(denied_with_errors(5, 20), 0);
@@ -394,7 +394,7 @@
     assert!(admitted < 400, "{admitted} of 500 requests admitted under congestion");
 }
 
-/// Guards against a new random draw for each request, as found on a test day with overload: clients that
+/// Guards against a new random draw for each request, as found in a test run with overload: clients that
 /// retried at once were admitted after a few draws, so that nearly every fraction of a request became a whole
 /// one.
 #[test]
@@ -421,9 +421,9 @@
     assert!(requests_per_s < 0.4, "{requests_per_s} requests per second admitted by each replica");
 }
 
-/// Guards against taking short deadlines for congestion, as found on test day r7909: the requests of one
-/// tenant, which waits for a fraction of the typical latency, failed, and the limits of all tenants fell to
-/// their floors.
+/// Guards against taking short deadlines for congestion, as found in the test scenario r7909: the requests of
+/// one tenant, which waits for a fraction of the typical latency, failed, and the limits of all tenants fell
+/// to their floors.
 #[test]
 fn requests_with_short_deadlines_do_not_lower_the_limits_of_other_tenants() {
     for outcome in [Outcome::Error, Outcome::TimedOut] {
@@ -454,9 +454,9 @@
     }
 }
 
-/// Guards against denying all requests after a decrease, as found on test day r7000: until the requests
-/// admitted under the old limit had left the window, nothing was admitted for more than a second although
-/// servers were idle.
+/// Guards against denying all requests after a decrease, as found in the test scenario r7000: until the
+/// requests admitted under the old limit had left the window, nothing was admitted for more than a second
+/// although servers were idle.
 #[test]
 fn a_decrease_does_not_deny_all_requests_until_the_window_has_passed() {
     for seed in 0..20 {
@@ -482,7 +482,7 @@
     }
 }
 
-/// Guards against a retry-after time that is too long, as found on the simulator's overload day: refused
+/// Guards against a retry-after time that is too long, as found in the simulator's overload scenario: refused
 /// clients were given the longest time that they honour, which may exceed their deadline, and never retried
 /// in time.
 #[test]
@@ -499,7 +499,7 @@
     }
 }
 
-/// Guards against a typical latency that falls with each congestion, as found on a long test day: under
+/// Guards against a typical latency that falls with each congestion, as found in a long test run: under
 /// congestion it was learned downwards at full speed and upwards at a tenth of that, and long requests
 /// counted more as congestion than in the typical latency. In the end, ordinary requests permanently counted
 /// as congestion.
