--- a/src/decide.rs
+++ b/src/decide.rs
@@ -120,7 +120,7 @@
 /// the same upstream.
 const MIN_SUBSET_SIZE: usize = 8;
 /// Stride between the positions of consecutive replicas on the ring of upstreams, as a fraction of the number
-/// of replicas.
+/// of replicas; it spreads replicas with consecutive indices over the ring.
 const INVERSE_GOLDEN_RATIO: f64 = 0.618;
 /// Weight of one outcome in the moving average of an upstream's failures, chosen so that the second failure
 /// in a row stands out.
@@ -445,8 +445,8 @@
 
     /// Raises the limit after a call served in time.
     fn increase(&mut self) {
-        // Below the full rate, the calls that are denied are within the quotas, so recover faster from
-        // overload.
+        // Below the full rate, the calls that are denied are within the quotas, so the limit rises faster to
+        // recover from overload.
         let increase =
             if self.rate < self.full_rate { RATE_RECOVERY_CALLS_PER_S } else { RATE_INCREASE_CALLS_PER_S };
         self.rate = (self.rate + increase).min(self.ceiling);
--- a/tests/list_trust.rs
+++ b/tests/list_trust.rs
@@ -89,7 +89,7 @@
         time_until_sends_stop(&mut harness, millis(60_000)),
         millis(6000) + USABLE_DRAIN_GRACE - elapsed,
     );
-    // Further failures do not extend the time.
+    // Further failed calls do not extend the time for which the list is valid.
     fail_discovery(&mut harness);
     assert!(!can_send(&mut harness));
 }
@@ -147,7 +147,7 @@
     };
     let mut harness = with_stale_list();
     assert_stops_at(time_until_sends_stop(&mut harness, millis(60_000)), millis(2000));
-    // The time starts with the first request.
+    // The 2 s for which the list is valid start with the first request.
     let mut harness = with_stale_list();
     harness.advance(millis(3000));
     assert_stops_at(time_until_sends_stop(&mut harness, millis(60_000)), millis(2000));
@@ -155,7 +155,7 @@
     let mut harness = with_stale_list();
     harness.advance(millis(6000) + USABLE_DRAIN_GRACE);
     assert!(!can_send(&mut harness));
-    // Failed calls do not extend the time; an update from discovery does.
+    // Failed calls to discovery do not make the list valid again; an update from discovery does.
     fail_discovery(&mut harness);
     assert!(!can_send(&mut harness));
     harness.handle(Event::Discovery(DiscoveryUpdate::Incremental(Vec::new())));
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -241,7 +241,7 @@
                                     self.now <= first.sent_at + window,
                                     "sent after the deduplication window"
                                 );
-                                // Allows for rounding.
+                                // One microsecond allows for the rounding of times.
                                 assert!(
                                     self.now + start_within
                                         <= first.sent_at + window + Duration::from_micros(1)
