--- a/scale/src/cli.rs
+++ b/scale/src/cli.rs
@@ -76,8 +76,8 @@
     /// Measures how evenly a service's balancers spread calls over its endpoints when some know an outdated count.
     Cover {
         /// Balancer instances that send calls.
-        #[arg(long, default_value_t = 610)]
-        copies: u32,
+        #[arg(long = "copies", value_name = "COPIES", default_value_t = 610)]
+        balancers: u32,
         /// Instance count that the balancers with a number below it were started with; the others know the true count.
         #[arg(long, default_value_t = 610)]
         old_count: u32,
@@ -178,9 +178,9 @@
                 scenario.seed = seed.unwrap_or(scenario.seed);
                 run_scenario(&scenario, report.as_deref())
             }
-            Self::Cover { copies, old_count, endpoints, calls, seed } => {
+            Self::Cover { balancers, old_count, endpoints, calls, seed } => {
                 let model = CoverageModel {
-                    balancers: copies,
+                    balancers,
                     outdated_count: old_count,
                     endpoints,
                     calls_per_balancer: calls,
--- a/scale/src/client/caller.rs
+++ b/scale/src/client/caller.rs
@@ -14,9 +14,9 @@
 use super::pool::Pool;
 use super::request::RequestBuilder;
 use crate::process::settings::MAX_RETRY_AFTER_S;
-use crate::record::{Call, CallEnd, Record};
+use crate::record::{Call, CallOutcome, Record};
 use crate::scenario::Load;
-use crate::topology::Carrier;
+use crate::topology::BalancerKind;
 
 /// Delay before a refused call is retried if the answer has no `Retry-After`.
 const DEFAULT_RETRY_DELAY: Duration = Duration::from_millis(50);
@@ -122,53 +122,55 @@
     pub(super) async fn run_call(&self, arrival: Arrival, due: Instant) {
         let lag = due.elapsed();
         self.record.measured().client_lag_us.add(lag);
-        let end = match arrival.disconnect_after {
+        let outcome = match arrival.disconnect_after {
             None => self.attempt_with_retries(&arrival, due).await,
             Some(disconnect_after) => tokio::select! {
                 biased;
-                end = self.attempt_with_retries(&arrival, due) => end,
-                () = sleep_until((due + disconnect_after).into()) => CallEnd::ClientLeft,
+                outcome = self.attempt_with_retries(&arrival, due) => outcome,
+                () = sleep_until((due + disconnect_after).into()) => CallOutcome::ClientDisconnected,
             },
         };
-        self.record_end(&arrival, due, end);
+        self.record_outcome(&arrival, due, outcome);
     }
 
     /// Records a call that was not sent because too many calls were in flight.
     pub(super) fn record_unsent(&self, arrival: &Arrival, due: Instant) {
         self.record.measured().client_unsent += 1;
-        self.record_end(arrival, due, CallEnd::Failed);
+        self.record_outcome(arrival, due, CallOutcome::Failed);
     }
 
-    fn record_end(&self, arrival: &Arrival, due: Instant, end: CallEnd) {
+    fn record_outcome(&self, arrival: &Arrival, due: Instant, outcome: CallOutcome) {
         let ended_at = Instant::now();
         let latency = ended_at.saturating_duration_since(due);
         match self.route {
             Route::Balancers => {
                 self.record.add_call(Call {
-                    carrier: Carrier::Real,
+                    balancer_kind: BalancerKind::Real,
                     hops: arrival.hops,
-                    end,
+                    outcome,
                     latency,
                     ended_at,
                 });
             }
-            Route::Nodes if end == CallEnd::Served => self.record.measured().direct_latency_us.add(latency),
+            Route::Nodes if outcome == CallOutcome::Served => {
+                self.record.measured().direct_latency_us.add(latency)
+            }
             Route::Nodes => {}
         }
     }
 
-    async fn attempt_with_retries(&self, arrival: &Arrival, due: Instant) -> CallEnd {
+    async fn attempt_with_retries(&self, arrival: &Arrival, due: Instant) -> CallOutcome {
         let mut attempt_number = 0;
         loop {
             let delay = match self.attempt(arrival, attempt_number, due).await {
-                AttemptOutcome::Served => return CallEnd::Served,
-                AttemptOutcome::Failed => return CallEnd::Failed,
-                AttemptOutcome::Lost => return CallEnd::Lost,
+                AttemptOutcome::Served => return CallOutcome::Served,
+                AttemptOutcome::Failed => return CallOutcome::Failed,
+                AttemptOutcome::Lost => return CallOutcome::Lost,
                 AttemptOutcome::Refused { retry_after } => retry_delay(retry_after),
             };
             // A retry that could not start before the deadline is not made.
             if attempt_number >= self.max_retries || delay >= self.remaining(due) {
-                return CallEnd::Refused;
+                return CallOutcome::Refused;
             }
             sleep(delay).await;
             attempt_number += 1;
@@ -183,7 +185,7 @@
     /// Makes one attempt, which has its own request id.
     async fn attempt(&self, arrival: &Arrival, attempt_number: u32, due: Instant) -> AttemptOutcome {
         if self.route == Route::Balancers {
-            self.record.count_hop_call(Carrier::Real, self.route.hop());
+            self.record.count_hop_call(BalancerKind::Real, self.route.hop());
         }
         let pool = &self.pools[arrival.target];
         let mut idle = pool.take_idle();
--- a/scale/src/client/tests.rs
+++ b/scale/src/client/tests.rs
@@ -12,7 +12,7 @@
 use super::caller::{Caller, Limits, Route};
 use super::{Arrival, Class};
 use crate::process::ReservedPort;
-use crate::record::{Call, CallEnd, Record};
+use crate::record::{Call, CallOutcome, Record};
 use crate::scenario::Scenario;
 use server::{Reply, Server, answer, answer_with};
 
@@ -54,8 +54,8 @@
         *measured.calls.last().expect("a call that was made is recorded")
     }
 
-    async fn call_end(&self) -> CallEnd {
-        self.call(ARRIVAL).await.end
+    async fn call_outcome(&self) -> CallOutcome {
+        self.call(ARRIVAL).await.outcome
     }
 }
 
@@ -76,7 +76,7 @@
 ) -> (Server, Clients) {
     let server = Server::start(move |request| if request.number == 0 { answer("200 OK") } else { reply() });
     let clients = Clients::new(server.address, limits, 0);
-    assert_eq!(clients.call_end().await, CallEnd::Served);
+    assert_eq!(clients.call_outcome().await, CallOutcome::Served);
     (server, clients)
 }
 
@@ -85,7 +85,7 @@
     let server = Server::start(|_| answer("200 OK"));
     let clients = Clients::new(server.address, UNREACHED_LIMITS, 0);
     let call = clients.call(ARRIVAL).await;
-    assert_eq!((call.end, call.hops), (CallEnd::Served, 3));
+    assert_eq!((call.outcome, call.hops), (CallOutcome::Served, 3));
     clients.call(Arrival { class: Class::Order, ..ARRIVAL }).await;
     let requests = server.requests();
     assert!(requests.iter().all(|request| request.connection == 0), "the connection is kept");
@@ -106,12 +106,15 @@
 #[tokio::test]
 async fn other_answers_fail_and_so_does_a_refused_connection() {
     let unused_port = ReservedPort::any().expect("a free port");
-    assert_eq!(Clients::new(unused_port.address(), UNREACHED_LIMITS, 0).call_end().await, CallEnd::Failed);
+    assert_eq!(
+        Clients::new(unused_port.address(), UNREACHED_LIMITS, 0).call_outcome().await,
+        CallOutcome::Failed
+    );
     for status in ["500 Internal Server Error", "400 Bad Request", "201 Created"] {
         let server = Server::start(move |_| answer(status));
         assert_eq!(
-            Clients::new(server.address, UNREACHED_LIMITS, 0).call_end().await,
-            CallEnd::Failed,
+            Clients::new(server.address, UNREACHED_LIMITS, 0).call_outcome().await,
+            CallOutcome::Failed,
             "{status}"
         );
     }
@@ -124,7 +127,7 @@
             Reply::Close(Duration::ZERO, bytes.to_owned())
         })
         .await;
-        assert_eq!(clients.call_end().await, CallEnd::Failed, "{bytes}");
+        assert_eq!(clients.call_outcome().await, CallOutcome::Failed, "{bytes}");
     }
 }
 
@@ -133,7 +136,7 @@
     let limits = Limits { deadline: Duration::from_millis(200), ..UNREACHED_LIMITS };
     let wait = Duration::from_millis(300);
     let server = Server::start(move |_| Reply::WriteAfter(wait, answer_with("200 OK", "")));
-    assert_eq!(Clients::new(server.address, limits, 0).call_end().await, CallEnd::Failed);
+    assert_eq!(Clients::new(server.address, limits, 0).call_outcome().await, CallOutcome::Failed);
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
@@ -142,7 +145,7 @@
     let server = Server::start(|_| Reply::Silence);
     let call =
         Clients::new(server.address, Limits { deadline, grace, ..UNREACHED_LIMITS }, 0).call(ARRIVAL).await;
-    assert_eq!(call.end, CallEnd::Lost);
+    assert_eq!(call.outcome, CallOutcome::Lost);
     assert!(call.latency >= deadline + grace, "{call:?}");
     assert_eq!(server.next_closed_connection(), 0);
 }
@@ -151,21 +154,21 @@
 async fn a_first_request_whose_connection_is_closed_fails_and_is_not_sent_again() {
     let server = Server::start(|_| Reply::Close(Duration::ZERO, String::new()));
     let clients = Clients::new(server.address, UNREACHED_LIMITS, 0);
-    assert_eq!(clients.call_end().await, CallEnd::Failed);
+    assert_eq!(clients.call_outcome().await, CallOutcome::Failed);
     assert_eq!(server.requests().len(), 1);
 }
 
 #[tokio::test]
 async fn a_request_that_races_with_a_close_is_sent_once_more_and_not_again() {
-    for end in [CallEnd::Served, CallEnd::Failed] {
+    for outcome in [CallOutcome::Served, CallOutcome::Failed] {
         let server = Server::start(move |request| match (request.connection, request.number) {
             (0, 0) => answer("200 OK"),
-            (1, 0) if end == CallEnd::Served => answer("200 OK"),
+            (1, 0) if outcome == CallOutcome::Served => answer("200 OK"),
             _ => Reply::Close(Duration::ZERO, String::new()),
         });
         let clients = Clients::new(server.address, UNREACHED_LIMITS, 0);
-        assert_eq!(clients.call_end().await, CallEnd::Served);
-        assert_eq!(clients.call_end().await, end);
+        assert_eq!(clients.call_outcome().await, CallOutcome::Served);
+        assert_eq!(clients.call_outcome().await, outcome);
         let requests = server.requests();
         assert!(requests.iter().map(|request| (request.connection, request.number)).eq([
             (0, 0),
@@ -184,7 +187,7 @@
     let wait = Duration::from_millis(100);
     let (server, clients) =
         clients_after_first_answer(limits, move || Reply::Close(wait, String::new())).await;
-    assert_eq!(clients.call_end().await, CallEnd::Lost);
+    assert_eq!(clients.call_outcome().await, CallOutcome::Lost);
     assert_eq!(server.requests().len(), 2);
 }
 
@@ -207,8 +210,8 @@
         Limits { close_race_window: Duration::from_millis(50), ..UNREACHED_LIMITS },
         0,
     );
-    assert_eq!(clients.call_end().await, CallEnd::Served);
-    assert_eq!(clients.call_end().await, CallEnd::Failed);
+    assert_eq!(clients.call_outcome().await, CallOutcome::Served);
+    assert_eq!(clients.call_outcome().await, CallOutcome::Failed);
     server.join().expect("no panic");
 }
 
@@ -222,8 +225,8 @@
         }
     });
     let clients = Clients::new(server.address, UNREACHED_LIMITS, 0);
-    assert_eq!(clients.call_end().await, CallEnd::Served);
-    assert_eq!(clients.call_end().await, CallEnd::Served);
+    assert_eq!(clients.call_outcome().await, CallOutcome::Served);
+    assert_eq!(clients.call_outcome().await, CallOutcome::Served);
     assert_eq!(clients.record.measured().client_resent, 0);
 }
 
@@ -236,7 +239,7 @@
             _ => answer("200 OK"),
         });
         let clients = Clients::new(server.address, UNREACHED_LIMITS, 2);
-        assert_eq!(clients.call_end().await, CallEnd::Served);
+        assert_eq!(clients.call_outcome().await, CallOutcome::Served);
         let requests = server.requests();
         assert!(requests[1].received_at - requests[0].received_at >= Duration::from_millis(200));
         assert_ne!(requests[0].header("x-request-id"), requests[1].header("x-request-id"));
@@ -247,7 +250,7 @@
 #[tokio::test]
 async fn a_call_that_is_always_refused_ends_after_its_retries() {
     let server = Server::start(|_| answer("503 Service Unavailable"));
-    assert_eq!(Clients::new(server.address, UNREACHED_LIMITS, 2).call_end().await, CallEnd::Refused);
+    assert_eq!(Clients::new(server.address, UNREACHED_LIMITS, 2).call_outcome().await, CallOutcome::Refused);
     assert_eq!(server.requests().len(), 3);
 }
 
@@ -255,7 +258,7 @@
 async fn no_retry_starts_after_the_deadline() {
     let server = Server::start(|_| Reply::Write(answer_with("503 No", "Retry-After: 9\r\n")));
     let limits = Limits { deadline: Duration::from_millis(1400), ..UNREACHED_LIMITS };
-    assert_eq!(Clients::new(server.address, limits, 2).call_end().await, CallEnd::Refused);
+    assert_eq!(Clients::new(server.address, limits, 2).call_outcome().await, CallOutcome::Refused);
     assert_eq!(server.requests().len(), 1);
 }
 
@@ -264,8 +267,8 @@
     let server = Server::start(|_| Reply::Silence);
     let arrival = Arrival { disconnect_after: Some(Duration::from_millis(500)), ..ARRIVAL };
     assert_eq!(
-        Clients::new(server.address, UNREACHED_LIMITS, 0).call(arrival).await.end,
-        CallEnd::ClientLeft
+        Clients::new(server.address, UNREACHED_LIMITS, 0).call(arrival).await.outcome,
+        CallOutcome::ClientDisconnected
     );
     assert_eq!(server.next_closed_connection(), 0);
 }
--- a/scale/src/client/tests/open_loop.rs
+++ b/scale/src/client/tests/open_loop.rs
@@ -10,7 +10,7 @@
 use crate::client::dispatch::make_calls;
 use crate::client::{Arrivals, run_load};
 use crate::process::ReservedPort;
-use crate::record::{CallEnd, Record};
+use crate::record::{CallOutcome, Record};
 use crate::topology::Topology;
 
 /// A server that answers no request before `count` requests are in flight at once.
@@ -39,7 +39,7 @@
     run_load(&scenario, &topology, vec![server.address], Vec::new(), start, Arc::clone(&record)).await;
     let measured = record.measured();
     assert_eq!(measured.calls.len(), count);
-    assert!(measured.calls.iter().all(|call| call.end == CallEnd::Served));
+    assert!(measured.calls.iter().all(|call| call.outcome == CallOutcome::Served));
     assert_eq!((measured.client_lag_us.count(), measured.client_unsent), (count as u64, 0));
 }
 
@@ -80,7 +80,10 @@
     let drawn_count = arrivals.clone().count();
     make_calls(arrivals, Arc::new(clients.caller), Instant::now(), MAX_IN_FLIGHT).await;
     let measured = clients.record.measured();
-    let ended = |end| measured.calls.iter().filter(|call| call.end == end).count();
-    assert_eq!((ended(CallEnd::Lost), ended(CallEnd::Failed)), (MAX_IN_FLIGHT, drawn_count - MAX_IN_FLIGHT));
+    let ended = |outcome| measured.calls.iter().filter(|call| call.outcome == outcome).count();
+    assert_eq!(
+        (ended(CallOutcome::Lost), ended(CallOutcome::Failed)),
+        (MAX_IN_FLIGHT, drawn_count - MAX_IN_FLIGHT)
+    );
     assert_eq!(measured.client_unsent as usize, drawn_count - MAX_IN_FLIGHT);
 }
--- a/scale/src/control/mod.rs
+++ b/scale/src/control/mod.rs
@@ -20,7 +20,7 @@
 use crate::port::Port;
 use crate::record::{ControlUsage, Record};
 use crate::scenario::Scenario;
-use crate::topology::{CopyId, RegionId, ServiceId, Topology};
+use crate::topology::{BalancerId, RegionId, ServiceId, Topology};
 use call_queue::CallQueue;
 use regional_lists::RegionalLists;
 use replica::{Counters, ReplicaListener};
@@ -76,7 +76,7 @@
             tasks: tokio::task::JoinSet::new(),
         };
         let heartbeat = Duration::try_from_secs_f64(settings.heartbeat_s).unwrap_or(MIN_HEARTBEAT);
-        for (number, balancer) in topology.copies.iter().enumerate() {
+        for (number, balancer) in topology.balancers.iter().enumerate() {
             let replica = number % replicas;
             let port = Port::open()
                 .map_err(|cause| ControlError::Port { balancer: balancer.name.clone(), cause })?;
@@ -89,7 +89,7 @@
                 port,
                 link,
                 service: balancer.target,
-                carrier: balancer.carrier,
+                balancer_kind: balancer.kind,
                 counters: Counters::default(),
                 delivered_version: AtomicU64::default(),
                 call_queue: control.call_queues[replica].clone(),
@@ -106,7 +106,7 @@
 
     /// The address at which a balancer reaches its control replica.
     #[must_use]
-    pub fn address(&self, balancer: CopyId) -> SocketAddr {
+    pub fn address(&self, balancer: BalancerId) -> SocketAddr {
         self.listeners[balancer.0].port.address()
     }
 
@@ -181,13 +181,13 @@
     /// The latest version of its list that a balancer has: written to it, or the one from which its watch
     /// resumed.
     #[must_use]
-    pub fn delivered_version(&self, balancer: CopyId) -> u64 {
+    pub fn delivered_version(&self, balancer: BalancerId) -> u64 {
         self.listeners[balancer.0].delivered_version.load(Ordering::Relaxed)
     }
 
     /// The control traffic of a balancer so far.
     #[must_use]
-    pub fn usage(&self, balancer: CopyId) -> ControlUsage {
+    pub fn usage(&self, balancer: BalancerId) -> ControlUsage {
         self.listeners[balancer.0].counters.usage()
     }
 
--- a/scale/src/control/replica.rs
+++ b/scale/src/control/replica.rs
@@ -18,7 +18,7 @@
 use super::watch as list_watch;
 use crate::port::{self, Port};
 use crate::record::{ControlUsage, Record};
-use crate::topology::{Carrier, ServiceId};
+use crate::topology::{BalancerKind, ServiceId};
 
 /// Delay before the next accept after one failed, for example for lack of descriptors.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
@@ -47,7 +47,7 @@
     pub(super) port: Port,
     pub(super) link: Link,
     pub(super) service: ServiceId,
-    pub(super) carrier: Carrier,
+    pub(super) balancer_kind: BalancerKind,
     pub(super) counters: Counters,
     /// The latest version that the balancer has: written to it, or the one from which its watch resumed.
     pub(super) delivered_version: AtomicU64,
--- a/scale/src/control/watch.rs
+++ b/scale/src/control/watch.rs
@@ -11,7 +11,7 @@
 use super::http;
 use super::replica::{CloseReason, ReplicaListener, wait_until_closed, wait_until_reachable, write};
 use super::state::ControlState;
-use crate::topology::Carrier;
+use crate::topology::BalancerKind;
 
 /// Streams the changes after a version; returns only when the connection has to end.
 ///
@@ -65,7 +65,7 @@
 ) -> Result<u64, CloseReason> {
     write(listener, stream, &http::chunk(&line.text)).await?;
     let before = listener.delivered_version.fetch_max(line.version, Ordering::Relaxed);
-    if listener.carrier == Carrier::Real && since > 0 {
+    if listener.balancer_kind == BalancerKind::Real && since > 0 {
         record_delivery_delay(listener, since.max(before), line.version);
     }
     Ok(line.version)
--- a/scale/src/faults.rs
+++ b/scale/src/faults.rs
@@ -6,10 +6,10 @@
 use rand::seq::{IndexedRandom, index};
 use rand_chacha::ChaCha8Rng;
 
-use crate::plan::{Action, NodeStatus, Step, seconds};
-use crate::report::FaultSpan;
+use crate::plan::{Action, NodeStatus, Step, duration_from_seconds};
+use crate::report::FaultPeriod;
 use crate::scenario::{Fault, FaultKind};
-use crate::topology::{Carrier, CopyId, NodeId, RegionId, Topology, ZoneId};
+use crate::topology::{BalancerId, BalancerKind, NodeId, RegionId, Topology, ZoneId};
 
 /// Range of the delay after which control detects a silent node, in seconds.
 const DETECTION_DELAY_S: std::ops::Range<f64> = 1.0..4.0;
@@ -42,8 +42,8 @@
 
 /// When a fault starts and ends.
 #[must_use]
-pub fn span(fault: &Fault) -> FaultSpan {
-    FaultSpan { kind: fault.kind, at_s: fault.at_s, ends_s: fault.ends_s() }
+pub fn fault_period(fault: &Fault) -> FaultPeriod {
+    FaultPeriod { kind: fault.kind, at_s: fault.at_s, ends_s: fault.ends_s() }
 }
 
 /// The steps of a fault.
@@ -56,7 +56,9 @@
         FaultKind::Release => release(fault, topology, random),
         FaultKind::RegionCut => region_cut(fault, topology),
         FaultKind::ControlLost => control_lost(fault),
-        FaultKind::WatchesBroken => vec![Step { at: seconds(fault.at_s), action: Action::BreakWatches }],
+        FaultKind::WatchesBroken => {
+            vec![Step { offset: duration_from_seconds(fault.at_s), action: Action::BreakWatches }]
+        }
         FaultKind::BalancerKilled => balancers_killed(fault, topology, random),
     }
 }
@@ -79,28 +81,29 @@
 
 /// The nodes fall silent, control detects it after a delay, and at the end they come back as after a restart.
 fn nodes_lost(fault: &Fault, nodes: &[NodeId], random: &mut ChaCha8Rng) -> Vec<Step> {
-    let start = seconds(fault.at_s);
-    let end = seconds(fault.ends_s());
+    let start = duration_from_seconds(fault.at_s);
+    let end = duration_from_seconds(fault.ends_s());
     let mut steps = Vec::new();
     for node in nodes {
-        let detected_at = start + seconds(random.random_range(DETECTION_DELAY_S));
-        steps.push(Step { at: start, action: Action::Silence(*node, true) });
+        let detected_at = start + duration_from_seconds(random.random_range(DETECTION_DELAY_S));
+        steps.push(Step { offset: start, action: Action::Silence(*node, true) });
         if end == start {
-            steps.push(Step { at: detected_at, action: Action::Publish(*node, NodeStatus::Gone) });
+            steps.push(Step { offset: detected_at, action: Action::Publish(*node, NodeStatus::Gone) });
             continue;
         }
-        steps.push(Step { at: detected_at.min(end), action: Action::Publish(*node, NodeStatus::Gone) });
-        steps.push(Step { at: end, action: Action::Restart(*node) });
-        steps.push(Step { at: end, action: Action::Silence(*node, false) });
+        steps.push(Step { offset: detected_at.min(end), action: Action::Publish(*node, NodeStatus::Gone) });
+        steps.push(Step { offset: end, action: Action::Restart(*node) });
+        steps.push(Step { offset: end, action: Action::Silence(*node, false) });
         let ready = Action::Publish(*node, NodeStatus::Ready { restarted: true });
-        steps.push(Step { at: end + RELISTED_DELAY, action: ready });
+        steps.push(Step { offset: end + RELISTED_DELAY, action: ready });
     }
     steps
 }
 
 /// The nodes restart one after another.
 fn restarts(fault: &Fault, nodes: &[NodeId]) -> Vec<Step> {
-    let starts = (0..).map(|number| seconds(fault.at_s + f64::from(number) * RESTART_INTERVAL_S));
+    let starts =
+        (0..).map(|number| duration_from_seconds(fault.at_s + f64::from(number) * RESTART_INTERVAL_S));
     nodes.iter().zip(starts).flat_map(|(node, start)| restart(*node, start)).collect()
 }
 
@@ -112,7 +115,7 @@
         (START_DELAY, Action::Restart(node)),
         (READY_DELAY, Action::Publish(node, NodeStatus::Ready { restarted: true })),
     ]
-    .map(|(after, action)| Step { at: start + after, action })
+    .map(|(after, action)| Step { offset: start + after, action })
 }
 
 /// A share of each service's nodes restarts, spread over the duration of the fault.
@@ -124,7 +127,7 @@
         let nodes: Vec<NodeId> = service.nodes.choose_multiple(random, count).copied().collect();
         for (number, node) in nodes.iter().enumerate() {
             let start_s = fault.at_s + spread_s * number as f64 / count as f64;
-            steps.extend(restart(*node, seconds(start_s)));
+            steps.extend(restart(*node, duration_from_seconds(start_s)));
         }
     }
     steps
@@ -136,9 +139,9 @@
     let region = RegionId(fault.place);
     let across = nodes_across(region, topology);
     let steps_at = |at_s: f64, silent: bool, action: Action| {
-        let at = seconds(at_s);
-        let silence = move |node: &NodeId| Step { at, action: Action::Silence(*node, silent) };
-        let mut steps = vec![Step { at, action }];
+        let offset = duration_from_seconds(at_s);
+        let silence = move |node: &NodeId| Step { offset, action: Action::Silence(*node, silent) };
+        let mut steps = vec![Step { offset, action }];
         steps.extend(across.iter().map(silence));
         steps
     };
@@ -151,9 +154,9 @@
 fn nodes_across(region: RegionId, topology: &Topology) -> Vec<NodeId> {
     let in_region = |zone| topology.region(zone) == region;
     let mut nodes = Vec::new();
-    for service in topology.services.iter().filter(|service| service.carrier == Carrier::Real) {
-        for balancer in &service.copies {
-            let balancer_inside = in_region(topology.copies[balancer.0].zone);
+    for service in topology.services.iter().filter(|service| service.balancer_kind == BalancerKind::Real) {
+        for balancer in &service.balancers {
+            let balancer_inside = in_region(topology.balancers[balancer.0].zone);
             nodes.extend(
                 service.nodes.iter().filter(|node| in_region(topology.nodes[node.0].zone) != balancer_inside),
             );
@@ -166,16 +169,21 @@
     let replicas = fault.place..fault.place.saturating_add(fault.count);
     let steps = replicas.flat_map(|replica| {
         [
-            Step { at: seconds(fault.at_s), action: Action::StopReplica(replica) },
-            Step { at: seconds(fault.ends_s()), action: Action::StartReplica(replica) },
+            Step { offset: duration_from_seconds(fault.at_s), action: Action::StopReplica(replica) },
+            Step { offset: duration_from_seconds(fault.ends_s()), action: Action::StartReplica(replica) },
         ]
     });
     steps.collect()
 }
 
 fn balancers_killed(fault: &Fault, topology: &Topology, random: &mut ChaCha8Rng) -> Vec<Step> {
-    let is_real = |balancer: &CopyId| topology.copies[balancer.0].carrier == Carrier::Real;
-    let real: Vec<CopyId> = (0..topology.copies.len()).map(CopyId).filter(is_real).collect();
+    let is_real = |balancer: &BalancerId| topology.balancers[balancer.0].kind == BalancerKind::Real;
+    let real: Vec<BalancerId> = (0..topology.balancers.len()).map(BalancerId).filter(is_real).collect();
     let killed = real.choose_multiple(random, fault.count as usize);
-    killed.map(|balancer| Step { at: seconds(fault.at_s), action: Action::KillBalancer(*balancer) }).collect()
+    killed
+        .map(|balancer| Step {
+            offset: duration_from_seconds(fault.at_s),
+            action: Action::KillBalancer(*balancer),
+        })
+        .collect()
 }
--- a/scale/src/hollow/host.rs
+++ b/scale/src/hollow/host.rs
@@ -34,7 +34,7 @@
 use super::schedule::{DueEvent, Schedule, TimedEvent};
 use crate::control::ControlPlane;
 use crate::record::Record;
-use crate::topology::{CopyId, Node, NodeId};
+use crate::topology::{BalancerId, Node, NodeId};
 
 /// How often idle connections are checked within the time for which they are kept.
 const SWEEPS_PER_IDLE_TIMEOUT: u32 = 8;
@@ -155,7 +155,7 @@
     }
 
     fn balancer_name(&self, balancer: usize) -> String {
-        self.plan.topology.copies[balancer].name.clone()
+        self.plan.topology.balancers[balancer].name.clone()
     }
 
     /// Time until the next event is due; zero if it is already due.
@@ -192,7 +192,7 @@
         match event {
             TimedEvent::Arrival => self.next_arrival(),
             TimedEvent::Retry(call) => self.send_call(call),
-            TimedEvent::ClientLeaves(call) => self.client_left(call),
+            TimedEvent::ClientDisconnects(call) => self.client_disconnected(call),
             TimedEvent::ClientDeadline(call) => self.client_deadline_passed(call),
             TimedEvent::CallLost(call) => self.call_lost(call),
             TimedEvent::RequestOverdue(request) => self.request_overdue(request),
@@ -273,12 +273,12 @@
 
     /// Index of the balancer through which a node calls the next service.
     fn balancer_of(&self, node: usize) -> usize {
-        self.plan.topology.nodes[node].calls_through.0
+        self.plan.topology.nodes[node].outbound_balancer.0
     }
 
     /// Index of the node whose machine a balancer runs on; hollow balancer `i` runs on node `i`.
     fn node_of(&self, balancer: usize) -> usize {
-        debug_assert_eq!(self.plan.topology.nodes[balancer].calls_through, CopyId(balancer));
+        debug_assert_eq!(self.plan.topology.nodes[balancer].outbound_balancer, BalancerId(balancer));
         NodeId(balancer).0
     }
 
--- a/scale/src/hollow/host/attempts.rs
+++ b/scale/src/hollow/host/attempts.rs
@@ -12,7 +12,7 @@
 use crate::hollow::connections::Connection;
 use crate::hollow::schedule::TimedEvent;
 use crate::node::model::Admission;
-use crate::topology::Carrier;
+use crate::topology::BalancerKind;
 
 impl HollowHost {
     /// Starts an attempt that the decisions requested.
@@ -88,7 +88,7 @@
     /// that the request was not executed.
     fn connection_rejected(&mut self, balancer: usize, id: AttemptId, node: usize) {
         if let Some(open_request) = self.requests.get(&id.request) {
-            self.record.count_attempt(Carrier::Hollow, open_request.spec.hop);
+            self.record.count_attempt(BalancerKind::Hollow, open_request.spec.hop);
         }
         let load = self.load_report(balancer, node);
         self.end_attempt(id, Outcome::Refused, load);
@@ -105,7 +105,7 @@
         if self.is_unreachable(balancer, node) {
             return;
         }
-        self.record.count_attempt(Carrier::Hollow, spec.hop);
+        self.record.count_attempt(BalancerKind::Hollow, spec.hop);
         match self.nodes[node].model.admit_request(self.now) {
             Admission::Runs { ends_at, outcome } => {
                 let execution =
--- a/scale/src/hollow/host/clients.rs
+++ b/scale/src/hollow/host/clients.rs
@@ -6,8 +6,8 @@
 use crate::hollow::arrivals::Arrival;
 use crate::hollow::calls::{Answer, CallId, Caller, OpenCall, RequestSpec};
 use crate::hollow::schedule::TimedEvent;
-use crate::record::{Call, CallEnd};
-use crate::topology::Carrier;
+use crate::record::{Call, CallOutcome};
+use crate::topology::BalancerKind;
 
 /// Delay before a retry if the refusal gave none.
 const DEFAULT_RETRY_DELAY: Duration = Duration::from_millis(50);
@@ -59,7 +59,7 @@
         self.progress.call_opened();
         self.schedule.add(deadline + LOST_AFTER, TimedEvent::CallLost(id));
         if let Some(delay) = arrival.client_leaves_after {
-            self.schedule.add(self.now + delay, TimedEvent::ClientLeaves(id));
+            self.schedule.add(self.now + delay, TimedEvent::ClientDisconnects(id));
         }
         self.send_call(id);
     }
@@ -71,11 +71,11 @@
         let (spec, timeout) = (call.spec, call.deadline.saturating_sub(self.now));
         let assigned = Some(call.balancer).filter(|&balancer| self.is_available(balancer));
         let Some(balancer) = assigned.or_else(|| self.available_balancer(id)) else {
-            return self.end_call(id, CallEnd::Failed);
+            return self.end_call(id, CallOutcome::Failed);
         };
         let request = self.accept_request(balancer, Caller::Client(id), spec, timeout);
         if request.is_none() {
-            return self.end_call(id, CallEnd::Failed);
+            return self.end_call(id, CallOutcome::Failed);
         }
         if let Some(call) = self.calls.get_mut(&id) {
             call.request = request;
@@ -101,27 +101,27 @@
         let Some(call) = self.calls.get_mut(&id) else { return };
         call.request = None;
         let end = match answer {
-            _ if now > call.deadline => CallEnd::Failed,
-            Answer::Served => CallEnd::Served,
-            Answer::Failed => CallEnd::Failed,
+            _ if now > call.deadline => CallOutcome::Failed,
+            Answer::Served => CallOutcome::Served,
+            Answer::Failed => CallOutcome::Failed,
             Answer::Refused { retry_after } => {
                 let retry_at = now + retry_after.unwrap_or(DEFAULT_RETRY_DELAY);
                 if call.retries_left > 0 && retry_at < call.deadline {
                     call.retries_left -= 1;
                     return self.schedule.add(retry_at, TimedEvent::Retry(id));
                 }
-                CallEnd::Refused
+                CallOutcome::Refused
             }
         };
         self.end_call(id, end);
     }
 
     /// Handles a client that closes its connection before the answer.
-    pub(super) fn client_left(&mut self, id: CallId) {
+    pub(super) fn client_disconnected(&mut self, id: CallId) {
         if let Some(request) = self.calls.get(&id).and_then(|call| call.request) {
             self.abandon_request(request);
         }
-        self.end_call(id, CallEnd::ClientLeft);
+        self.end_call(id, CallOutcome::ClientDisconnected);
     }
 
     /// Makes a call fail at its deadline, because its balancer's machine is gone and nothing will answer.
@@ -134,22 +134,22 @@
 
     /// Ends a call that could not be answered before its deadline.
     pub(super) fn client_deadline_passed(&mut self, id: CallId) {
-        self.end_call(id, CallEnd::Failed);
+        self.end_call(id, CallOutcome::Failed);
     }
 
     /// Ends a call that still has no answer as lost.
     pub(super) fn call_lost(&mut self, id: CallId) {
-        self.end_call(id, CallEnd::Lost);
+        self.end_call(id, CallOutcome::Lost);
     }
 
     /// Records the end of a call; has no effect if the call has already ended.
-    pub(super) fn end_call(&mut self, id: CallId, end: CallEnd) {
+    pub(super) fn end_call(&mut self, id: CallId, outcome: CallOutcome) {
         let Some(call) = self.calls.remove(&id) else { return };
         self.progress.call_ended();
         self.record.add_call(Call {
-            carrier: Carrier::Hollow,
+            balancer_kind: BalancerKind::Hollow,
             hops: call.spec.hops,
-            end,
+            outcome,
             latency: self.now.saturating_sub(call.arrived_at),
             ended_at: self.epoch + self.now,
         });
--- a/scale/src/hollow/host/faults.rs
+++ b/scale/src/hollow/host/faults.rs
@@ -4,7 +4,7 @@
 
 use super::HollowHost;
 use crate::hollow::calls::{AttemptId, Caller};
-use crate::record::CallEnd;
+use crate::record::CallOutcome;
 
 impl HollowHost {
     /// Makes a node's machine silent or reachable again. Calls in progress at the balancer on that machine
@@ -47,7 +47,7 @@
     pub(super) fn node_collapsed(&mut self, node: usize) {
         if !self.nodes[node].down {
             self.nodes[node].stop();
-            self.record.measured().cold_falls += 1;
+            self.record.measured().cold_node_collapses += 1;
         }
         self.end_attempts_on(node);
     }
@@ -81,7 +81,7 @@
             if let Caller::Client(call) = open_request.caller
                 && !open_request.answered
             {
-                self.end_call(call, CallEnd::Failed);
+                self.end_call(call, CallOutcome::Failed);
             }
             for attempt in open_request.attempts.into_iter().flatten() {
                 self.close_connections(attempt.connection);
--- a/scale/src/hollow/host/lists.rs
+++ b/scale/src/hollow/host/lists.rs
@@ -30,7 +30,7 @@
 
     fn ended(&self, watch: WatchNumber, reason: &WatchError) {
         if let Some(host) = self.host.upgrade() {
-            host.borrow_mut().watch_broke(self.balancer, watch, reason);
+            host.borrow_mut().watch_ended(self.balancer, watch, reason);
         }
     }
 
@@ -121,7 +121,7 @@
             return;
         };
         let load_start_instant = self.epoch + load_start;
-        let service = self.plan.topology.copies[balancer].target;
+        let service = self.plan.topology.balancers[balancer].target;
         let published_times = (previous_version + 1..=version)
             .filter_map(|version| self.control.published_at(service, version));
         let mut measured = self.record.measured();
@@ -136,13 +136,13 @@
         self.progress.watching_changed(was_watching, watching);
     }
 
-    fn watch_broke(&mut self, balancer: usize, watch: WatchNumber, reason: &WatchError) {
+    fn watch_ended(&mut self, balancer: usize, watch: WatchNumber, reason: &WatchError) {
         self.catch_up();
         if !self.balancers[balancer].subscription.record_end(watch) {
             return;
         }
         self.set_watching(balancer, false);
-        tracing::debug!(copy = self.balancer_name(balancer), %reason, "the discovery watch broke");
+        tracing::debug!(copy = self.balancer_name(balancer), %reason, "the discovery watch ended");
         self.decide(balancer, Event::Discovery(DiscoveryUpdate::Failed));
         self.process_steps();
     }
--- a/scale/src/hollow/host/requests.rs
+++ b/scale/src/hollow/host/requests.rs
@@ -9,7 +9,7 @@
 use super::{HollowHost, Step};
 use crate::hollow::calls::{Answer, Caller, OpenRequest, RequestSpec};
 use crate::hollow::schedule::TimedEvent;
-use crate::topology::Carrier;
+use crate::topology::BalancerKind;
 
 impl HollowHost {
     /// Accepts a request from a caller that waits for `timeout`; `None` if the balancer's settings do not
@@ -21,7 +21,7 @@
         spec: RequestSpec,
         timeout: Duration,
     ) -> Option<RequestId> {
-        self.record.count_hop_call(Carrier::Hollow, spec.hop);
+        self.record.count_hop_call(BalancerKind::Hollow, spec.hop);
         let class = self.balancers[balancer].class(spec.class)?;
         let tenant = self.balancers[balancer].tenant(spec.tenant);
         let id = RequestId(self.next_number());
--- a/scale/src/hollow/host/settings.rs
+++ b/scale/src/hollow/host/settings.rs
@@ -10,18 +10,18 @@
 use crate::hollow::HollowError;
 use crate::hollow::balancer::HollowBalancer;
 use crate::hollow::plan::without_list;
-use crate::topology::CopyId;
+use crate::topology::BalancerId;
 
 impl HollowHost {
     /// Creates a balancer with the current list and its latest settings.
     pub(super) fn new_balancer(&self, number: usize, generation: u64) -> Result<HollowBalancer, HollowError> {
         let error = |cause| HollowError::Configuration { balancer: self.balancer_name(number), cause };
         let topology = &self.plan.topology;
-        let balancer = &topology.copies[number];
+        let balancer = &topology.balancers[number];
         let config = match self.reloaded_configurations.get(&number) {
             Some(text) => Config::parse(text, |_| None)
                 .map(|config| Config { known: Some(self.control.list(balancer.target)), ..config }),
-            None => Config::parse(&self.plan.configuration(CopyId(number), &self.control), |_| None),
+            None => Config::parse(&self.plan.configuration(BalancerId(number), &self.control), |_| None),
         };
         let config = config.map_err(error)?;
         let region = topology.region(balancer.zone);
@@ -46,7 +46,7 @@
                     %error,
                     "the new configuration was rejected; the old settings stay in force"
                 );
-                self.record.measured().settings_missed += 1;
+                self.record.measured().balancers_without_new_settings += 1;
             }
         }
         self.process_steps();
--- a/scale/src/hollow/mod.rs
+++ b/scale/src/hollow/mod.rs
@@ -31,7 +31,7 @@
 use crate::control::ControlPlane;
 use crate::record::Record;
 use crate::scenario::Scenario;
-use crate::topology::{CopyId, NodeId, Topology};
+use crate::topology::{BalancerId, NodeId, Topology};
 
 /// Why the hollow balancers do not run.
 #[derive(Debug, Error)]
@@ -54,7 +54,7 @@
 
 /// Figures of the hollow balancers at the end of a run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct HollowEnd {
+pub struct HollowSummary {
     /// Maximum lateness: the longest time during the load from when an event was due until it was handled. If
     /// it is well above some milliseconds, the thread was too slow for the load.
     pub max_lateness: Duration,
@@ -139,7 +139,7 @@
     }
 
     /// Reloads a hollow balancer's configuration, as after SIGHUP. Has no effect on other balancers.
-    pub fn reload(&self, balancer: CopyId, configuration: String) {
+    pub fn reload(&self, balancer: BalancerId, configuration: String) {
         if balancer.0 < self.node_count {
             self.send(Command::Reload { balancer: balancer.0, configuration, requested_at: Instant::now() });
         }
@@ -168,10 +168,13 @@
     ///
     /// # Errors
     /// The thread had already ended.
-    pub fn stop(self) -> Result<HollowEnd, HollowError> {
+    pub fn stop(self) -> Result<HollowSummary, HollowError> {
         self.send(Command::Stop);
         self.thread.join().map_err(|_| HollowError::Ended)?;
-        Ok(HollowEnd { max_lateness: self.progress.max_lateness(), open_calls: self.progress.open_calls() })
+        Ok(HollowSummary {
+            max_lateness: self.progress.max_lateness(),
+            open_calls: self.progress.open_calls(),
+        })
     }
 
     /// If the thread has ended, commands are dropped; [`Self::stop`] reports the error.
--- a/scale/src/hollow/plan.rs
+++ b/scale/src/hollow/plan.rs
@@ -5,7 +5,7 @@
 use crate::control::ControlPlane;
 use crate::process::settings;
 use crate::scenario::Scenario;
-use crate::topology::{Carrier, CopyId, Topology};
+use crate::topology::{BalancerId, BalancerKind, Topology};
 
 /// Listen address in the configurations of hollow balancers, which do not listen.
 const UNUSED_ADDRESS: SocketAddr = SocketAddr::new(std::net::IpAddr::V4(Ipv4Addr::LOCALHOST), 9);
@@ -25,12 +25,12 @@
     /// Number of hollow balancers, which is also that of hollow nodes: both come first in the topology, with
     /// one balancer on each node.
     pub fn hollow_count(&self) -> usize {
-        self.topology.copies.iter().filter(|balancer| balancer.carrier == Carrier::Hollow).count()
+        self.topology.balancers.iter().filter(|balancer| balancer.kind == BalancerKind::Hollow).count()
     }
 
     /// The text of a balancer's configuration, with the current endpoint list.
-    pub fn configuration(&self, balancer: CopyId, control: &ControlPlane) -> String {
-        let list = control.list(self.topology.copies[balancer.0].target);
+    pub fn configuration(&self, balancer: BalancerId, control: &ControlPlane) -> String {
+        let list = control.list(self.topology.balancers[balancer.0].target);
         let address = control.address(balancer);
         settings::configuration(
             &self.scenario,
--- a/scale/src/hollow/schedule.rs
+++ b/scale/src/hollow/schedule.rs
@@ -16,7 +16,7 @@
     /// A client retries a call that was refused.
     Retry(CallId),
     /// A client closes its connection.
-    ClientLeaves(CallId),
+    ClientDisconnects(CallId),
     /// The deadline of a client whose balancer's machine is gone.
     ClientDeadline(CallId),
     /// A call that still has no answer is lost.
--- a/scale/src/hollow/tests.rs
+++ b/scale/src/hollow/tests.rs
@@ -9,9 +9,9 @@
 use super::arrivals::{Arrival, Arrivals};
 use super::*;
 use crate::process::settings;
-use crate::record::CallEnd;
+use crate::record::CallOutcome;
 use crate::scenario::{Depth, SettingsChange};
-use crate::topology::{Carrier, ServiceId};
+use crate::topology::{BalancerKind, ServiceId};
 
 /// A scenario with 24 balancers, 8 for each service; `extra` is inserted before the tables that all tests
 /// share.
@@ -116,11 +116,12 @@
         let end = self.fleet.stop().expect("the thread ran until it was stopped");
         assert_eq!(end.open_calls, 0);
         let measured = self.record.measured();
-        let count = |end| measured.calls.iter().filter(|call| call.end == end).count();
+        let count = |outcome| measured.calls.iter().filter(|call| call.outcome == outcome).count();
         let [served, refused, failed, left] =
-            [CallEnd::Served, CallEnd::Refused, CallEnd::Failed, CallEnd::ClientLeft].map(count);
+            [CallOutcome::Served, CallOutcome::Refused, CallOutcome::Failed, CallOutcome::ClientDisconnected]
+                .map(count);
         assert_eq!(served + refused + failed + left, arrival_count);
-        assert_eq!((count(CallEnd::Lost), measured.duplicated), (0, 0));
+        assert_eq!((count(CallOutcome::Lost), measured.duplicated), (0, 0));
         // A client waits for a second; the balancer answers 2 ms after that at the latest.
         let late = measured.calls.iter().filter(|call| call.latency > Duration::from_millis(1002)).count();
         assert_eq!(late, 0);
@@ -153,13 +154,13 @@
     let served = test.finish().await;
     assert!(served > arrivals.len() * 8 / 10, "{served} of {} served", arrivals.len());
     let measured = record.measured();
-    let hollow = crate::record::carrier_index(Carrier::Hollow);
+    let hollow = crate::record::balancer_kind_index(BalancerKind::Hollow);
     let four_hop_arrivals = arrivals.iter().filter(|arrival| arrival.hops == 4).count() as u64;
     assert!(measured.hop_calls[hollow][&1] >= arrivals.len() as u64);
     assert_eq!(measured.hop_calls[hollow].keys().copied().max(), Some(4));
     assert!(measured.attempts[hollow][&4] > four_hop_arrivals / 2);
     let served_four_hop_calls =
-        measured.calls.iter().filter(|call| call.hops == 4 && call.end == CallEnd::Served);
+        measured.calls.iter().filter(|call| call.hops == 4 && call.outcome == CallOutcome::Served);
     assert!(served_four_hop_calls.count() as u64 > four_hop_arrivals / 2);
 }
 
@@ -224,7 +225,7 @@
 /// A list change must reach the decisions of every balancer, as a patch on an open watch or through a watch
 /// that was opened again.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_list_change_reaches_every_copy() {
+async fn a_list_change_reaches_every_balancer() {
     let mut scenario = scenario("");
     scenario.load.hollow_calls_per_s = 0.0;
     let test = TestFleet::start(scenario).await;
@@ -251,8 +252,8 @@
     test.fleet.stop().expect("the thread ran until it was stopped");
 }
 
-fn configuration(test: &TestFleet, balancer: CopyId, change: SettingsChange) -> String {
-    let list = test.control.list(test.topology.copies[balancer.0].target);
+fn configuration(test: &TestFleet, balancer: BalancerId, change: SettingsChange) -> String {
+    let list = test.control.list(test.topology.balancers[balancer.0].target);
     let listen = "127.0.0.1:9".parse().expect("a valid address");
     let address = test.control.address(balancer);
     let (scenario, topology) = (&test.scenario, &test.topology);
@@ -267,7 +268,7 @@
     test.fleet.begin_load(Instant::now());
     test.wait_until("some calls have ended", |test| test.ended_calls() >= 50).await;
     let reload = |balancer, change| {
-        test.fleet.reload(CopyId(balancer), configuration(&test, CopyId(balancer), change));
+        test.fleet.reload(BalancerId(balancer), configuration(&test, BalancerId(balancer), change));
     };
     reload(4, SettingsChange::AddClass);
     reload(5, SettingsChange::Malformed);
@@ -278,14 +279,14 @@
     let record = Arc::clone(&test.record);
     test.finish().await;
     let measured = record.measured();
-    assert_eq!((measured.settings_in_force_us.count(), measured.settings_missed), (3, 1));
+    assert_eq!((measured.settings_in_force_us.count(), measured.balancers_without_new_settings), (3, 1));
 }
 
 /// A balancer must restart with the latest settings that it was given, without the outdated list.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn reloaded_settings_are_kept_without_the_list() {
     let test = TestFleet::start(scenario("")).await;
-    let text = configuration(&test, CopyId(4), SettingsChange::AddClass);
+    let text = configuration(&test, BalancerId(4), SettingsChange::AddClass);
     let text_without_list = plan::without_list(&text).expect("the text parses");
     let config = Config::parse(&text_without_list, |_| None).expect("the configuration is valid");
     assert!(config.known.is_none());
--- a/scale/src/hollow/thread.rs
+++ b/scale/src/hollow/thread.rs
@@ -122,7 +122,7 @@
 
     fn write_to(&self, record: &Record) {
         if let Some((baseline, now)) = self.baseline.zip(thread_cpu_time()) {
-            record.measured().hollow_core_s = now.saturating_sub(baseline).as_secs_f64();
+            record.measured().hollow_cpu_s = now.saturating_sub(baseline).as_secs_f64();
         }
     }
 }
--- a/scale/src/node/handler.rs
+++ b/scale/src/node/handler.rs
@@ -14,7 +14,7 @@
 use super::request::{Class, NodeRequest, RequestError};
 use super::socket::{Connection, SocketNode};
 use super::state;
-use crate::topology::Carrier;
+use crate::topology::BalancerKind;
 
 /// Maximum size of a request body, as set by the protocol.
 const MAX_BODY_BYTES: usize = 64 << 10;
@@ -43,7 +43,7 @@
         Err(RequestError::NoId) => empty_response(StatusCode::NOT_FOUND),
         Err(RequestError::Malformed) => empty_response(StatusCode::BAD_REQUEST),
         Ok(request) => {
-            node.shared.record.count_attempt(Carrier::Real, request.hop);
+            node.shared.record.count_attempt(BalancerKind::Real, request.hop);
             wait_until_responsive(connection).await;
             run_request(node, connection, &request, arrived).await
         }
@@ -92,7 +92,7 @@
     let collapses = model.is_down() && !was_down;
     drop(model);
     if collapses {
-        node.shared.record.measured().cold_falls += 1;
+        node.shared.record.measured().cold_node_collapses += 1;
         node.stop();
     }
     admission
@@ -133,7 +133,7 @@
         time_left,
     };
     if time_left != Some(Duration::ZERO) {
-        node.shared.record.count_hop_call(Carrier::Real, call.hop);
+        node.shared.record.count_hop_call(BalancerKind::Real, call.hop);
     }
     match node.next_balancer.call(&call, &node.shared.request_ids).await {
         Ok(()) => response_with_load(node, StatusCode::OK, SERVED_BODY),
--- a/scale/src/node/server.rs
+++ b/scale/src/node/server.rs
@@ -16,7 +16,7 @@
 use crate::port::Port;
 use crate::record::Record;
 use crate::scenario::Scenario;
-use crate::topology::{Carrier, CopyId, Node, NodeId, Topology};
+use crate::topology::{BalancerId, BalancerKind, Node, NodeId, Topology};
 
 /// Separates the request ids of the nodes from other draws from the same seed.
 const REQUEST_IDS_SEED: u64 = 0x6e6f_6465_2069_6473;
@@ -69,18 +69,18 @@
             load_reports: scenario.node.load_reports,
             max_connections: scenario.node.connections,
         });
-        let balancers: Vec<Arc<BalancerClient>> = topology.copies.iter().map(|_| Arc::default()).collect();
+        let balancers: Vec<Arc<BalancerClient>> = topology.balancers.iter().map(|_| Arc::default()).collect();
         let mut listening = JoinSet::new();
         let mut nodes = Vec::new();
         for (number, node) in topology.nodes.iter().enumerate() {
-            if topology.services[node.service.0].carrier == Carrier::Hollow {
+            if topology.services[node.service.0].balancer_kind == BalancerKind::Hollow {
                 nodes.push(None);
                 continue;
             }
             let port = open_port(node)?;
             let seed = scenario.seed.wrapping_add(NODE_SEED.wrapping_mul(number as u64 + 1));
             let model = NodeModel::new(&scenario.node, seed);
-            let next_balancer = balancers[node.calls_through.0].clone();
+            let next_balancer = balancers[node.outbound_balancer.0].clone();
             let node = Arc::new(SocketNode::new(shared.clone(), port, next_balancer, model));
             listening.spawn(socket::listen(node.clone()));
             nodes.push(Some(node));
@@ -95,7 +95,7 @@
     }
 
     /// Sets the address of a balancer through which nodes call the next service.
-    pub fn set_balancer_address(&self, balancer: CopyId, address: SocketAddr) {
+    pub fn set_balancer_address(&self, balancer: BalancerId, address: SocketAddr) {
         if let Some(client) = self.balancers.get(balancer.0) {
             client.set_address(address);
         }
--- a/scale/src/plan.rs
+++ b/scale/src/plan.rs
@@ -6,9 +6,9 @@
 use rand_chacha::ChaCha8Rng;
 
 use crate::faults;
-use crate::report::FaultSpan;
+use crate::report::FaultPeriod;
 use crate::scenario::Scenario;
-use crate::topology::{CopyId, NodeId, RegionId, ServiceId, Topology};
+use crate::topology::{BalancerId, NodeId, RegionId, ServiceId, Topology};
 
 /// Random stream of the seed from which faults are drawn.
 const FAULT_STREAM: u64 = 1;
@@ -23,7 +23,7 @@
 #[derive(Debug, Clone, PartialEq)]
 pub struct Step {
     /// Time from the start of the load.
-    pub at: Duration,
+    pub offset: Duration,
     /// Action that is carried out.
     pub action: Action,
 }
@@ -54,7 +54,7 @@
     /// All discovery watches are disconnected.
     BreakWatches,
     /// A real balancer is killed and started again.
-    KillBalancer(CopyId),
+    KillBalancer(BalancerId),
     /// Every balancer gets new settings.
     NewSettings,
 }
@@ -79,7 +79,7 @@
     /// Steps in order of time.
     pub steps: Vec<Step>,
     /// When each fault of the scenario begins and ends.
-    pub faults: Vec<FaultSpan>,
+    pub faults: Vec<FaultPeriod>,
 }
 
 impl Plan {
@@ -93,9 +93,11 @@
         }
         steps.extend(list_changes(scenario, topology));
         let settings = scenario.changes.settings_at_s.iter();
-        steps.extend(settings.map(|at_s| Step { at: seconds(*at_s), action: Action::NewSettings }));
-        steps.sort_by_key(|step| step.at);
-        Self { steps, faults: scenario.faults.iter().map(faults::span).collect() }
+        steps.extend(
+            settings.map(|at_s| Step { offset: duration_from_seconds(*at_s), action: Action::NewSettings }),
+        );
+        steps.sort_by_key(|step| step.offset);
+        Self { steps, faults: scenario.faults.iter().map(faults::fault_period).collect() }
     }
 }
 
@@ -115,7 +117,7 @@
             return steps;
         }
         let action = random_list_change(scenario.control.padding_entries, topology, &mut random);
-        steps.push(Step { at: seconds(at_s), action });
+        steps.push(Step { offset: duration_from_seconds(at_s), action });
     }
 }
 
@@ -135,6 +137,6 @@
 }
 
 /// Converts a time of a checked scenario, which is finite and not negative.
-pub(crate) fn seconds(seconds: f64) -> Duration {
+pub(crate) fn duration_from_seconds(seconds: f64) -> Duration {
     Duration::from_secs_f64(seconds)
 }
--- a/scale/src/process/balancer/tests.rs
+++ b/scale/src/process/balancer/tests.rs
@@ -16,7 +16,7 @@
 use crate::process::settings::tests::one_node_list;
 use crate::process::{configuration, find_balancer_program};
 use crate::scenario::{Scenario, SettingsChange};
-use crate::topology::{CopyId, Topology};
+use crate::topology::{BalancerId, Topology};
 
 /// Longer than any step of a passing test takes.
 const TEST_TIMEOUT: Duration = Duration::from_secs(30);
@@ -51,7 +51,7 @@
     let scenario: Scenario = toml::from_str(SCENARIO).expect("a valid scenario");
     let topology = Topology::of(&scenario.fleet);
     let control = control.local_addr().expect("a bound socket");
-    configuration(&scenario, &topology, CopyId(0), listen, control, &one_node_list(), change)
+    configuration(&scenario, &topology, BalancerId(0), listen, control, &one_node_list(), change)
 }
 
 async fn start_balancer(directory: &TempDir, control: &TcpListener) -> BalancerProcess {
--- a/scale/src/process/settings.rs
+++ b/scale/src/process/settings.rs
@@ -6,7 +6,7 @@
 use stilelead::discovery::Update;
 
 use crate::scenario::{Scenario, SettingsChange};
-use crate::topology::{CopyId, Topology, ZoneId};
+use crate::topology::{BalancerId, Topology, ZoneId};
 
 /// Class of requests that are safe to retry.
 pub const CLASS_READ: &str = "read";
@@ -56,14 +56,14 @@
 pub fn configuration(
     scenario: &Scenario,
     topology: &Topology,
-    balancer: CopyId,
+    balancer: BalancerId,
     listen: SocketAddr,
     control: SocketAddr,
     initial_list: &Update,
     change: Option<SettingsChange>,
 ) -> String {
     let file = ConfigurationFile {
-        name: &topology.copies[balancer.0].name,
+        name: &topology.balancers[balancer.0].name,
         listen,
         discovery: control,
         seed: balancer_seed(scenario.seed, balancer),
@@ -79,7 +79,7 @@
 }
 
 /// Derives a different seed for each balancer of a run, in hexadecimal digits.
-fn balancer_seed(run_seed: u64, balancer: CopyId) -> String {
+fn balancer_seed(run_seed: u64, balancer: BalancerId) -> String {
     /// Odd, so that the products of different balancer numbers differ.
     const SEED_MULTIPLIER: u64 = 0x9e37_79b9_7f4a_7c15;
     let number = balancer.0 as u64 + 1;
@@ -142,8 +142,8 @@
 }
 
 impl Settings {
-    fn of(scenario: &Scenario, topology: &Topology, id: CopyId, change: Option<SettingsChange>) -> Self {
-        let balancer = &topology.copies[id.0];
+    fn of(scenario: &Scenario, topology: &Topology, id: BalancerId, change: Option<SettingsChange>) -> Self {
+        let balancer = &topology.balancers[id.0];
         Self {
             replica_count: replica_count(topology, id, change),
             replica_index: balancer.index,
@@ -164,9 +164,9 @@
     }
 }
 
-fn replica_count(topology: &Topology, id: CopyId, change: Option<SettingsChange>) -> u32 {
-    let service = &topology.services[topology.copies[id.0].target.0];
-    let count = u32::try_from(service.copies.len()).unwrap_or(u32::MAX);
+fn replica_count(topology: &Topology, id: BalancerId, change: Option<SettingsChange>) -> u32 {
+    let service = &topology.services[topology.balancers[id.0].target.0];
+    let count = u32::try_from(service.balancers.len()).unwrap_or(u32::MAX);
     if change == Some(SettingsChange::Copies) { count.saturating_mul(2) } else { count }
 }
 
--- a/scale/src/process/settings/tests.rs
+++ b/scale/src/process/settings/tests.rs
@@ -9,7 +9,7 @@
 
 use super::{CLASS_EXTRA, CLASS_ORDER, CLASS_READ, configuration};
 use crate::scenario::{Scenario, SettingsChange};
-use crate::topology::{Carrier, CopyId, Topology};
+use crate::topology::{BalancerId, BalancerKind, Topology};
 
 const SCENARIO: &str = r#"
 name = "test"
@@ -47,7 +47,7 @@
 /// What the balancer's parser makes of the text for a balancer.
 fn parse_configuration(
     scenario: &Scenario,
-    balancer: CopyId,
+    balancer: BalancerId,
     change: Option<SettingsChange>,
 ) -> Result<Config, ConfigError> {
     let topology = Topology::of(&scenario.fleet);
@@ -68,26 +68,26 @@
 }
 
 /// A hollow balancer in the second region, and the last real one.
-fn one_of_each_carrier(topology: &Topology) -> [CopyId; 2] {
-    let last = topology.copies.len() - 1;
-    assert_eq!(topology.copies[5].carrier, Carrier::Hollow);
-    assert_eq!(topology.copies[last].carrier, Carrier::Real);
-    [CopyId(5), CopyId(last)]
+fn one_of_each_kind(topology: &Topology) -> [BalancerId; 2] {
+    let last = topology.balancers.len() - 1;
+    assert_eq!(topology.balancers[5].kind, BalancerKind::Hollow);
+    assert_eq!(topology.balancers[last].kind, BalancerKind::Real);
+    [BalancerId(5), BalancerId(last)]
 }
 
 #[test]
 fn the_balancer_accepts_the_text_of_each_balancer() {
     let scenario = scenario();
     let topology = Topology::of(&scenario.fleet);
-    for id in one_of_each_carrier(&topology) {
-        let balancer = &topology.copies[id.0];
+    for id in one_of_each_kind(&topology) {
+        let balancer = &topology.balancers[id.0];
         let config = parse_configuration(&scenario, id, None).expect("a valid configuration");
         assert_eq!(config.name, balancer.name);
         assert_eq!((config.listen, config.discovery, config.sockets), (loopback(8081), loopback(8500), 1024));
         assert_eq!(config.known.expect("an initial list").endpoints[0].name, "n-00001");
         let settings = config.loaded.settings;
         assert_eq!(settings.replica_index, balancer.index);
-        assert_eq!(settings.replica_count as usize, topology.services[balancer.target.0].copies.len());
+        assert_eq!(settings.replica_count as usize, topology.services[balancer.target.0].balancers.len());
         assert_eq!((settings.zone.0, settings.zone_count), (balancer.zone.0 as usize, 4));
         assert_eq!((settings.capabilities.max_concurrent_streams, settings.tenants.len()), (1, 3));
         assert_eq!(settings.rules.slow_start_min_fraction, scenario.node.cold_share);
@@ -97,7 +97,7 @@
 
 #[test]
 fn classes_have_the_names_that_clients_send() {
-    let config = parse_configuration(&scenario(), CopyId(0), None).expect("a valid configuration");
+    let config = parse_configuration(&scenario(), BalancerId(0), None).expect("a valid configuration");
     let classes = &config.loaded.names.classes;
     let settings = &config.loaded.settings;
     assert_eq!(settings.classes[classes[CLASS_READ]].idempotency, Idempotency::Idempotent);
@@ -109,8 +109,9 @@
 
 #[test]
 fn each_balancer_has_its_own_seed() {
-    let seed =
-        |number| parse_configuration(&scenario(), CopyId(number), None).expect("a valid configuration").seed;
+    let seed = |number| {
+        parse_configuration(&scenario(), BalancerId(number), None).expect("a valid configuration").seed
+    };
     assert_ne!(seed(0), seed(1));
     assert_eq!(seed(1), seed(1));
 }
@@ -118,7 +119,7 @@
 #[test]
 fn each_settings_change_changes_the_text() {
     let scenario = scenario();
-    for id in one_of_each_carrier(&Topology::of(&scenario.fleet)) {
+    for id in one_of_each_kind(&Topology::of(&scenario.fleet)) {
         let changed = |change| parse_configuration(&scenario, id, Some(change));
         let before = parse_configuration(&scenario, id, None).expect("a valid configuration").loaded;
         let added = changed(SettingsChange::AddClass).expect("a valid configuration").loaded;
--- a/scale/src/record.rs
+++ b/scale/src/record.rs
@@ -6,7 +6,7 @@
 
 use hdrhistogram::Histogram;
 
-use crate::topology::{Carrier, CopyId};
+use crate::topology::{BalancerId, BalancerKind};
 
 /// Longest duration that the histograms can hold, in microseconds; longer ones count as this one.
 const MAX_DURATION_US: u64 = 600_000_000;
@@ -15,7 +15,7 @@
 
 /// How a client's call ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum CallEnd {
+pub enum CallOutcome {
     /// Answered with 200 before the deadline.
     Served,
     /// Answered with 429 or 503, after the client's retries, if any.
@@ -25,18 +25,18 @@
     /// Accepted by a server, but still unanswered half a second after the deadline.
     Lost,
     /// The client closed its connection before the answer.
-    ClientLeft,
+    ClientDisconnected,
 }
 
 /// The outcome of a call by a client (the first hop), including the client's own retries.
 #[derive(Debug, Clone, Copy)]
 pub struct Call {
     /// Whether it went to a real or a hollow (simulated, in-process) balancer.
-    pub carrier: Carrier,
+    pub balancer_kind: BalancerKind,
     /// Hops from the client to the last node.
     pub hops: u32,
     /// How the call ended.
-    pub end: CallEnd,
+    pub outcome: CallOutcome,
     /// Time from the scheduled arrival of the call to its end.
     pub latency: Duration,
     /// When the call ended.
@@ -84,14 +84,14 @@
     pub direct_latency_us: DurationHistogram,
     /// Latency of served calls through real balancers by number of hops, in microseconds.
     pub latency_by_hops_us: BTreeMap<u32, DurationHistogram>,
-    /// Attempts that reached a node, by carrier (real first) and hop.
+    /// Attempts that reached a node, by kind of balancer (real first) and hop.
     pub attempts: [BTreeMap<u32, u64>; 2],
-    /// Calls that were made at a hop, by carrier (real first) and hop.
+    /// Calls that were made at a hop, by kind of balancer (real first) and hop.
     pub hop_calls: [BTreeMap<u32, u64>; 2],
     /// Requests that must not run twice and did.
     pub duplicated: u64,
     /// Cold (freshly started) nodes that went down because they got more requests than they can handle.
-    pub cold_falls: u64,
+    pub cold_node_collapses: u64,
     /// Changes of endpoint lists since the start of the load.
     pub list_changes: u64,
     /// From a list change to its arrival at a balancer, in microseconds.
@@ -101,11 +101,11 @@
     /// From new settings to when a balancer decides by them, in microseconds.
     pub settings_in_force_us: DurationHistogram,
     /// Balancers that never started to decide by new settings.
-    pub settings_missed: u64,
+    pub balancers_without_new_settings: u64,
     /// Usage samples of the real balancers' processes.
-    pub process_samples: Vec<(CopyId, ProcessUsage)>,
+    pub process_samples: Vec<(BalancerId, ProcessUsage)>,
     /// Processor time of the hollow balancers' threads, in seconds.
-    pub hollow_core_s: f64,
+    pub hollow_cpu_s: f64,
 }
 
 /// A histogram of durations in microseconds.
@@ -151,7 +151,7 @@
     /// Records a client's call that has ended.
     pub fn add_call(&self, call: Call) {
         let mut measured = self.measured();
-        if call.end == CallEnd::Served && call.carrier == Carrier::Real {
+        if call.outcome == CallOutcome::Served && call.balancer_kind == BalancerKind::Real {
             measured.latency_by_hops_us.entry(call.hops).or_default().add(call.latency);
             if call.hops == 1 {
                 measured.one_hop_latency_us.add(call.latency);
@@ -161,21 +161,21 @@
     }
 
     /// Counts a call that was made at this hop; the first hop is 1.
-    pub fn count_hop_call(&self, carrier: Carrier, hop: u32) {
-        *self.measured().hop_calls[carrier_index(carrier)].entry(hop).or_default() += 1;
+    pub fn count_hop_call(&self, balancer_kind: BalancerKind, hop: u32) {
+        *self.measured().hop_calls[balancer_kind_index(balancer_kind)].entry(hop).or_default() += 1;
     }
 
     /// Counts an attempt that has reached a node at this hop; the first hop is 1.
-    pub fn count_attempt(&self, carrier: Carrier, hop: u32) {
-        *self.measured().attempts[carrier_index(carrier)].entry(hop).or_default() += 1;
+    pub fn count_attempt(&self, balancer_kind: BalancerKind, hop: u32) {
+        *self.measured().attempts[balancer_kind_index(balancer_kind)].entry(hop).or_default() += 1;
     }
 }
 
-/// Index of a carrier in the arrays of [`Measured`].
+/// Index of a kind of balancer in the arrays of [`Measured`].
 #[must_use]
-pub fn carrier_index(carrier: Carrier) -> usize {
-    match carrier {
-        Carrier::Real => 0,
-        Carrier::Hollow => 1,
+pub fn balancer_kind_index(balancer_kind: BalancerKind) -> usize {
+    match balancer_kind {
+        BalancerKind::Real => 0,
+        BalancerKind::Hollow => 1,
     }
 }
--- a/scale/src/report.rs
+++ b/scale/src/report.rs
@@ -6,10 +6,10 @@
 use serde::Serialize;
 
 use self::calls::CallSummary;
-use crate::hollow::HollowEnd;
-use crate::record::{ControlUsage, DurationHistogram, Measured, ProcessUsage, carrier_index};
+use crate::hollow::HollowSummary;
+use crate::record::{ControlUsage, DurationHistogram, Measured, ProcessUsage, balancer_kind_index};
 use crate::scenario::Scenario;
-use crate::topology::{Carrier, CopyId};
+use crate::topology::{BalancerId, BalancerKind};
 
 mod calls;
 mod figures;
@@ -17,7 +17,7 @@
 
 pub use calls::{Counts, Series};
 pub use figures::{AddedLatency, Delay, Latency, MeanMax};
-pub use recovery::{FaultSpan, Recovery, ServedShare};
+pub use recovery::{FaultPeriod, Recovery, ServedShare};
 
 /// Call depths (in hops) that the report always lists, even without calls of that depth.
 const REPORTED_DEPTHS: [u32; 3] = [1, 9, 27];
@@ -35,15 +35,15 @@
     /// Seconds for which the load ran.
     pub load_duration_s: f64,
     /// Start and end of each fault.
-    pub faults: Vec<FaultSpan>,
+    pub faults: Vec<FaultPeriod>,
     /// Traffic between the control plane and each balancer during the load.
     pub control_usage: Vec<ControlUsage>,
     /// Seconds of processor time of the hollow balancers' threads during the load.
-    pub hollow_core_s: f64,
+    pub hollow_cpu_s: f64,
     /// Balancers to which the latest version of their list had not been sent at the end of the run.
     pub balancers_with_stale_list: Option<usize>,
     /// State of the hollow balancers when they were stopped.
-    pub hollow_end: Option<HollowEnd>,
+    pub hollow_summary: Option<HollowSummary>,
     /// Resources that the tool itself used during the load, with its memory at the end of the load.
     pub tool_usage: Option<ProcessUsage>,
     /// Why the run ended early; `None` if it completed.
@@ -98,7 +98,8 @@
     /// Requests that must not run twice and did.
     pub duplicated: u64,
     /// Cold (freshly started) nodes that went down because they got more requests than they can handle.
-    pub cold_falls: u64,
+    #[serde(rename = "cold_falls")]
+    pub cold_node_collapses: u64,
     /// Latency that one hop through a real balancer adds.
     pub added_latency_us: Option<AddedLatency>,
     /// Latency of one-hop calls through a real balancer.
@@ -181,7 +182,7 @@
             MeanMax::of(measured.process_samples.iter().map(|(_, usage)| value(usage)))
         };
         let hollow_balancers = f64::from(scenario.fleet.hollow);
-        let hollow_core = 100.0 * run.hollow_core_s / run.load_duration_s / hollow_balancers;
+        let hollow_core = 100.0 * run.hollow_cpu_s / run.load_duration_s / hollow_balancers;
         Self {
             name: scenario.name.clone(),
             scale: scenario.scale.clone(),
@@ -192,10 +193,10 @@
             real: scenario.fleet.real,
             hollow: scenario.fleet.hollow,
             all: calls.all,
-            real_calls: calls.by_carrier[carrier_index(Carrier::Real)],
-            hollow_calls: calls.by_carrier[carrier_index(Carrier::Hollow)],
+            real_calls: calls.by_balancer_kind[balancer_kind_index(BalancerKind::Real)],
+            hollow_calls: calls.by_balancer_kind[balancer_kind_index(BalancerKind::Hollow)],
             duplicated: measured.duplicated,
-            cold_falls: measured.cold_falls,
+            cold_node_collapses: measured.cold_node_collapses,
             added_latency_us: AddedLatency::of(one_hop, direct),
             one_hop_latency_us: one_hop,
             direct_latency_us: direct,
@@ -203,8 +204,8 @@
             client_unsent: measured.client_unsent,
             depth_latency_us: latency_by_depth(&measured.latency_by_hops_us),
             hollow_depth_latency_us: latency_by_depth(&calls.hollow_latency_us),
-            attempts_per_call: attempts_per_call(measured, Carrier::Real),
-            hollow_attempts_per_call: attempts_per_call(measured, Carrier::Hollow),
+            attempts_per_call: attempts_per_call(measured, BalancerKind::Real),
+            hollow_attempts_per_call: attempts_per_call(measured, BalancerKind::Hollow),
             control_bytes_per_s: MeanMax::of(
                 run.control_usage
                     .iter()
@@ -216,8 +217,10 @@
             control_core_percent: balancer_core.filter(|_| without_calls),
             balancer_core_percent: balancer_core,
             hollow_core_percent: hollow_core.is_finite().then_some(hollow_core),
-            hollow_max_lag_ms: run.hollow_end.map(|end| end.max_lateness.as_secs_f64() * MS_PER_S),
-            hollow_open_calls: run.hollow_end.map(|end| end.open_calls),
+            hollow_max_lag_ms: run
+                .hollow_summary
+                .map(|summary| summary.max_lateness.as_secs_f64() * MS_PER_S),
+            hollow_open_calls: run.hollow_summary.map(|summary| summary.open_calls),
             memory_mb: sample_stats(|usage| usage.memory_mb),
             descriptors: sample_stats(|usage| usage.descriptors as f64),
             wakeups_per_s: sample_stats(|usage| usage.wakeups_per_s),
@@ -229,7 +232,7 @@
             list_in_force_s: Delay::of(&measured.list_in_force_us),
             settings_in_force_s: SettingsInForce {
                 delay: Delay::of(&measured.settings_in_force_us),
-                missed: measured.settings_missed,
+                missed: measured.balancers_without_new_settings,
             },
             recovery_s: run.faults.iter().map(|fault| calls.served_share.recovery(*fault)).collect(),
             series: calls.series,
@@ -244,23 +247,26 @@
     latencies
 }
 
-fn attempts_per_call(measured: &Measured, carrier: Carrier) -> AttemptsPerCall {
-    let calls = &measured.hop_calls[carrier_index(carrier)];
-    let attempts = &measured.attempts[carrier_index(carrier)];
+fn attempts_per_call(measured: &Measured, balancer_kind: BalancerKind) -> AttemptsPerCall {
+    let calls = &measured.hop_calls[balancer_kind_index(balancer_kind)];
+    let attempts = &measured.attempts[balancer_kind_index(balancer_kind)];
     let ratio = |hop: &u32, calls: u64| attempts.get(hop).map(|attempts| *attempts as f64 / calls as f64);
     let by_hop = calls.iter().filter_map(|(hop, calls)| Some((*hop, ratio(hop, *calls)?))).collect();
-    let carrier_calls = || measured.calls.iter().filter(|call| call.carrier == carrier);
-    let deepest = carrier_calls().map(|call| call.hops).max();
+    let calls_of_kind = || measured.calls.iter().filter(|call| call.balancer_kind == balancer_kind);
+    let deepest = calls_of_kind().map(|call| call.hops).max();
     let deepest_over_first = deepest.and_then(|deepest| {
-        let first = carrier_calls().filter(|call| call.hops == deepest).count();
+        let first = calls_of_kind().filter(|call| call.hops == deepest).count();
         ratio(&deepest, first as u64)
     });
     AttemptsPerCall { by_hop, deepest_over_first }
 }
 
 /// Mean and maximum over the balancers of each balancer's mean over its samples.
-fn stats_by_balancer(samples: &[(CopyId, ProcessUsage)], value: fn(&ProcessUsage) -> f64) -> Option<MeanMax> {
-    let mut values_by_balancer: BTreeMap<CopyId, Vec<f64>> = BTreeMap::new();
+fn stats_by_balancer(
+    samples: &[(BalancerId, ProcessUsage)],
+    value: fn(&ProcessUsage) -> f64,
+) -> Option<MeanMax> {
+    let mut values_by_balancer: BTreeMap<BalancerId, Vec<f64>> = BTreeMap::new();
     for (balancer, usage) in samples {
         values_by_balancer.entry(*balancer).or_default().push(value(usage));
     }
--- a/scale/src/report/calls.rs
+++ b/scale/src/report/calls.rs
@@ -7,8 +7,8 @@
 
 use super::Run;
 use super::recovery::ServedShare;
-use crate::record::{Call, CallEnd, DurationHistogram, carrier_index};
-use crate::topology::Carrier;
+use crate::record::{Call, CallOutcome, DurationHistogram, balancer_kind_index};
+use crate::topology::BalancerKind;
 
 /// Calls by how they ended; `calls` is the sum of the other fields.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize)]
@@ -25,7 +25,7 @@
     pub lost: u64,
     /// The client closed its connection before the answer.
     #[serde(rename = "left")]
-    pub client_left: u64,
+    pub client_disconnected: u64,
 }
 
 /// Calls by the second of their scheduled arrival.
@@ -43,8 +43,8 @@
 pub(super) struct CallSummary {
     /// Counts of all calls.
     pub(super) all: Counts,
-    /// Counts by carrier, real first.
-    pub(super) by_carrier: [Counts; 2],
+    /// Counts by kind of balancer, real first.
+    pub(super) by_balancer_kind: [Counts; 2],
     /// Latency of served calls through hollow balancers by number of hops.
     pub(super) hollow_latency_us: BTreeMap<u32, DurationHistogram>,
     /// Share of calls served over time.
@@ -60,7 +60,7 @@
         let zeros = vec![0; duration_s];
         let mut summary = Self {
             all: Counts::default(),
-            by_carrier: [Counts::default(); 2],
+            by_balancer_kind: [Counts::default(); 2],
             hollow_latency_us: BTreeMap::new(),
             served_share: ServedShare::new(run.load_duration_s, run.scenario.load.deadline_s),
             series: Series { served: zeros.clone(), refused: zeros.clone(), failed: zeros },
@@ -72,23 +72,23 @@
     }
 
     fn add(&mut self, start: Option<Instant>, call: &Call) {
-        self.all.add(call.end);
-        self.by_carrier[carrier_index(call.carrier)].add(call.end);
-        if call.carrier == Carrier::Hollow && call.end == CallEnd::Served {
+        self.all.add(call.outcome);
+        self.by_balancer_kind[balancer_kind_index(call.balancer_kind)].add(call.outcome);
+        if call.balancer_kind == BalancerKind::Hollow && call.outcome == CallOutcome::Served {
             self.hollow_latency_us.entry(call.hops).or_default().add(call.latency);
         }
         let arrival = call.ended_at.checked_sub(call.latency);
         let arrival_s = arrival
             .zip(start)
             .map_or(0.0, |(arrival, start)| arrival.saturating_duration_since(start).as_secs_f64());
-        if call.end != CallEnd::ClientLeft {
-            self.served_share.add(arrival_s, call.end == CallEnd::Served);
+        if call.outcome != CallOutcome::ClientDisconnected {
+            self.served_share.add(arrival_s, call.outcome == CallOutcome::Served);
         }
-        let series = match call.end {
-            CallEnd::Served => &mut self.series.served,
-            CallEnd::Refused => &mut self.series.refused,
-            CallEnd::Failed | CallEnd::Lost => &mut self.series.failed,
-            CallEnd::ClientLeft => return,
+        let series = match call.outcome {
+            CallOutcome::Served => &mut self.series.served,
+            CallOutcome::Refused => &mut self.series.refused,
+            CallOutcome::Failed | CallOutcome::Lost => &mut self.series.failed,
+            CallOutcome::ClientDisconnected => return,
         };
         let last_second = series.len() - 1;
         series[(arrival_s as usize).min(last_second)] += 1;
@@ -96,14 +96,14 @@
 }
 
 impl Counts {
-    fn add(&mut self, end: CallEnd) {
+    fn add(&mut self, outcome: CallOutcome) {
         self.calls += 1;
-        *match end {
-            CallEnd::Served => &mut self.served,
-            CallEnd::Refused => &mut self.refused,
-            CallEnd::Failed => &mut self.failed,
-            CallEnd::Lost => &mut self.lost,
-            CallEnd::ClientLeft => &mut self.client_left,
+        *match outcome {
+            CallOutcome::Served => &mut self.served,
+            CallOutcome::Refused => &mut self.refused,
+            CallOutcome::Failed => &mut self.failed,
+            CallOutcome::Lost => &mut self.lost,
+            CallOutcome::ClientDisconnected => &mut self.client_disconnected,
         } += 1;
     }
 }
--- a/scale/src/report/recovery.rs
+++ b/scale/src/report/recovery.rs
@@ -13,7 +13,7 @@
 
 /// Start and end of a fault, in seconds from the start of the load.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct FaultSpan {
+pub struct FaultPeriod {
     /// Kind of the fault.
     pub kind: FaultKind,
     /// Start of the fault.
@@ -63,7 +63,7 @@
         }
     }
 
-    /// Adds a call by its scheduled arrival. Calls whose clients left must not be added.
+    /// Adds a call by its scheduled arrival. Calls whose clients disconnected must not be added.
     pub fn add(&mut self, arrival_s: f64, served: bool) {
         let last_step = self.steps.len() - 1;
         let step = &mut self.steps[step_index(arrival_s).min(last_step)];
@@ -73,7 +73,7 @@
 
     /// Effect of a fault on the share.
     #[must_use]
-    pub fn recovery(&self, fault: FaultSpan) -> Recovery {
+    pub fn recovery(&self, fault: FaultPeriod) -> Recovery {
         let steps_before = step_index(fault.at_s).saturating_sub(self.deadline_steps).max(STEPS_PER_S);
         let share_before = self.share_in_second_before(steps_before);
         let recovered = share_before.and_then(|share_before| {
--- a/scale/src/run.rs
+++ b/scale/src/run.rs
@@ -14,9 +14,9 @@
 
 use crate::client;
 use crate::control::ControlError;
-use crate::hollow::{HollowEnd, HollowError};
+use crate::hollow::{HollowError, HollowSummary};
 use crate::node::server::NodeError;
-use crate::plan::{Plan, seconds};
+use crate::plan::{Plan, duration_from_seconds};
 use crate::process::{ProcessError, Sampler};
 use crate::record::{ControlUsage, ProcessUsage, Record};
 use crate::report::{Report, Run};
@@ -123,7 +123,7 @@
     plan: Plan,
     fleet: Option<Fleet>,
     load: Option<Load>,
-    hollow_end: Option<HollowEnd>,
+    hollow_summary: Option<HollowSummary>,
 }
 
 /// Start and measurements of the load, once it has begun.
@@ -134,7 +134,7 @@
     control_usage: Vec<ControlUsage>,
     tool_sampler: Sampler,
     tool_usage: Option<ProcessUsage>,
-    hollow_core_s: f64,
+    hollow_cpu_s: f64,
     balancers_with_stale_list: Option<usize>,
 }
 
@@ -148,7 +148,7 @@
             record: Arc::default(),
             fleet: None,
             load: None,
-            hollow_end: None,
+            hollow_summary: None,
         }
     }
 
@@ -156,7 +156,7 @@
         let started_fleet =
             Fleet::start(&self.scenario, &self.topology, &self.record, &options.program).await?;
         let fleet = self.fleet.insert(started_fleet);
-        fleet.wait_until_ready(seconds(self.scenario.ready_within_s)).await?;
+        fleet.wait_until_ready(duration_from_seconds(self.scenario.ready_within_s)).await?;
         info!(real = self.scenario.fleet.real, hollow = self.scenario.fleet.hollow, "ready");
         let start = Instant::now();
         let load = self.load.insert(Load {
@@ -166,11 +166,11 @@
             control_usage: Vec::new(),
             tool_sampler: Sampler::new(std::process::id()),
             tool_usage: None,
-            hollow_core_s: 0.0,
+            hollow_cpu_s: 0.0,
             balancers_with_stale_list: None,
         });
         let fleet = &*fleet;
-        let load_end = start + seconds(self.scenario.duration_s);
+        let load_end = start + duration_from_seconds(self.scenario.duration_s);
         let bar = watch::progress_bar(options.progress, self.scenario.duration_s);
         let result = tokio::select! {
             error = watch::monitor_balancers(fleet, &self.record, &bar, load_end) => Err(error),
@@ -186,7 +186,7 @@
             load.take_measurements(&fleet, &self.record);
             load.balancers_with_stale_list = Some(fleet.balancers_with_stale_list());
         }
-        self.hollow_end = fleet.stop().await?;
+        self.hollow_summary = fleet.stop().await?;
         Ok(())
     }
 
@@ -198,9 +198,9 @@
             load_duration_s: load.and_then(|load| load.duration_s).unwrap_or_default(),
             faults: self.plan.faults,
             control_usage: load.map(|load| load.control_usage.clone()).unwrap_or_default(),
-            hollow_core_s: load.map(|load| load.hollow_core_s).unwrap_or_default(),
+            hollow_cpu_s: load.map(|load| load.hollow_cpu_s).unwrap_or_default(),
             balancers_with_stale_list: load.and_then(|load| load.balancers_with_stale_list),
-            hollow_end: self.hollow_end,
+            hollow_summary: self.hollow_summary,
             tool_usage: load.and_then(|load| load.tool_usage),
             partial_reason: error.map(|error| error.to_string()),
         };
@@ -216,7 +216,7 @@
         }
         self.duration_s = Some(self.start.elapsed().as_secs_f64());
         self.tool_usage = self.tool_sampler.sample();
-        self.hollow_core_s = record.measured().hollow_core_s;
+        self.hollow_cpu_s = record.measured().hollow_cpu_s;
         let after = fleet.control_usage();
         self.control_usage = self
             .control_usage_at_start
@@ -244,8 +244,8 @@
     plan: &Plan,
     load: &mut Load,
 ) -> Result<(), RunError> {
-    let load_end = load.start + seconds(scenario.duration_s);
-    let settle_end = load_end + seconds(scenario.load.deadline_s) + SETTLE_TIME;
+    let load_end = load.start + duration_from_seconds(scenario.duration_s);
+    let settle_end = load_end + duration_from_seconds(scenario.load.deadline_s) + SETTLE_TIME;
     if let Some(hollow) = &fleet.hollow {
         hollow.begin_load(load.start);
     }
@@ -253,7 +253,7 @@
     clients.spawn(socket_load(fleet, scenario, topology, record, load.start));
     let mut executor = ActionExecutor::new(fleet, scenario, topology, record, settle_end);
     for step in &plan.steps {
-        sleep_until((load.start + step.at).into()).await;
+        sleep_until((load.start + step.offset).into()).await;
         executor.execute(step.action);
     }
     sleep_until(load_end.into()).await;
--- a/scale/src/run/fleet.rs
+++ b/scale/src/run/fleet.rs
@@ -13,12 +13,12 @@
 use super::RunError;
 use super::lists::EndpointLists;
 use crate::control::ControlPlane;
-use crate::hollow::{HollowEnd, HollowFleet};
+use crate::hollow::{HollowFleet, HollowSummary};
 use crate::node::server::NodeServers;
 use crate::process::{BalancerProcess, ProcessError, configuration};
 use crate::record::{ControlUsage, Record};
 use crate::scenario::Scenario;
-use crate::topology::{Carrier, CopyId, NodeId, ServiceId, Topology};
+use crate::topology::{BalancerId, BalancerKind, NodeId, ServiceId, Topology};
 
 /// Time between two checks whether all balancers are ready.
 const READY_POLL_INTERVAL: Duration = Duration::from_millis(50);
@@ -27,7 +27,7 @@
 #[derive(Debug, Clone)]
 pub struct Balancer {
     /// Index in the topology.
-    pub copy: CopyId,
+    pub id: BalancerId,
     /// Address on which it listens.
     pub address: SocketAddr,
     /// Process of the balancer.
@@ -67,7 +67,7 @@
         let lists = EndpointLists::publish(&control, record, topology, padding_entries, address);
         let balancers = start_balancers(scenario, topology, &control, program, directory.path()).await?;
         for balancer in &balancers {
-            nodes.set_balancer_address(balancer.copy, balancer.address);
+            nodes.set_balancer_address(balancer.id, balancer.address);
         }
         let hollow = start_hollow(scenario, topology, &control, record).await?;
         Ok(Self {
@@ -88,7 +88,7 @@
             let remaining = timeout.saturating_sub(start.elapsed());
             balancer.process.lock().await.wait_until_ready(remaining).await?;
         }
-        let total = self.topology.copies.len();
+        let total = self.topology.balancers.len();
         loop {
             let ready = self.ready_balancers();
             if ready >= total {
@@ -103,14 +103,14 @@
 
     /// Lower bound of the number of balancers that can serve and have received their list.
     fn ready_balancers(&self) -> usize {
-        let with_current_list = self.topology.copies.len() - self.balancers_with_stale_list();
+        let with_current_list = self.topology.balancers.len() - self.balancers_with_stale_list();
         let able_to_serve = self.hollow.as_ref().map_or(0, HollowFleet::ready_count) + self.balancers.len();
         with_current_list.min(able_to_serve)
     }
 
     /// Traffic between the control plane and each balancer so far.
     pub fn control_usage(&self) -> Vec<ControlUsage> {
-        (0..self.topology.copies.len()).map(|copy| self.control.usage(CopyId(copy))).collect()
+        (0..self.topology.balancers.len()).map(|number| self.control.usage(BalancerId(number))).collect()
     }
 
     /// Number of balancers to which the latest version of their list was not sent yet.
@@ -118,10 +118,10 @@
         let versions: Vec<u64> = (0..self.topology.services.len())
             .map(|service| self.control.list(ServiceId(service)).index)
             .collect();
-        let balancers = self.topology.copies.iter().enumerate();
+        let balancers = self.topology.balancers.iter().enumerate();
         balancers
             .filter(|(number, balancer)| {
-                self.control.delivered_version(CopyId(*number)) < versions[balancer.target.0]
+                self.control.delivered_version(BalancerId(*number)) < versions[balancer.target.0]
             })
             .count()
     }
@@ -133,7 +133,8 @@
 
     /// Addresses of the first real service's nodes, for calls that bypass the balancers.
     pub fn direct_addresses(&self) -> Vec<SocketAddr> {
-        let first_real = self.topology.services.iter().find(|service| service.carrier == Carrier::Real);
+        let first_real =
+            self.topology.services.iter().find(|service| service.balancer_kind == BalancerKind::Real);
         let nodes = first_real.map(|service| service.nodes.as_slice()).unwrap_or_default();
         nodes.iter().map(|node| self.nodes.address(*node)).collect()
     }
@@ -147,7 +148,7 @@
     ///
     /// # Errors
     /// The hollow balancers' threads had ended before.
-    pub async fn stop(self) -> Result<Option<HollowEnd>, RunError> {
+    pub async fn stop(self) -> Result<Option<HollowSummary>, RunError> {
         for balancer in self.balancers {
             balancer.process.lock().await.kill().await;
         }
@@ -157,7 +158,7 @@
 }
 
 fn is_real(topology: &Topology, node: NodeId) -> bool {
-    topology.services[topology.nodes[node.0].service.0].carrier == Carrier::Real
+    topology.services[topology.nodes[node.0].service.0].balancer_kind == BalancerKind::Real
 }
 
 /// Starts the hollow balancers on a thread that may block, because it takes a while.
@@ -184,13 +185,13 @@
     directory: &Path,
 ) -> Result<Vec<Balancer>, RunError> {
     let mut starting = JoinSet::new();
-    for (number, copy) in topology.copies.iter().enumerate() {
-        if copy.carrier == Carrier::Real {
+    for (number, balancer) in topology.balancers.iter().enumerate() {
+        if balancer.kind == BalancerKind::Real {
             let (scenario, topology, control) = (scenario.clone(), topology.clone(), control.clone());
             let (program, directory) = (program.to_owned(), directory.to_owned());
-            let copy = CopyId(number);
+            let id = BalancerId(number);
             starting.spawn(async move {
-                start_balancer(&scenario, &topology, &control, copy, &program, &directory).await
+                start_balancer(&scenario, &topology, &control, id, &program, &directory).await
             });
         }
     }
@@ -198,7 +199,7 @@
     while let Some(started) = starting.join_next().await {
         balancers.push(started??);
     }
-    balancers.sort_by_key(|balancer| balancer.copy);
+    balancers.sort_by_key(|balancer| balancer.id);
     Ok(balancers)
 }
 
@@ -206,14 +207,14 @@
     scenario: &Scenario,
     topology: &Topology,
     control: &ControlPlane,
-    copy: CopyId,
+    id: BalancerId,
     program: &Path,
     directory: &Path,
 ) -> Result<Balancer, ProcessError> {
-    let endpoints = control.list(topology.copies[copy.0].target);
-    let discovery = control.address(copy);
-    let settings_text = |listen| configuration(scenario, topology, copy, listen, discovery, &endpoints, None);
-    let name = &topology.copies[copy.0].name;
+    let endpoints = control.list(topology.balancers[id.0].target);
+    let discovery = control.address(id);
+    let settings_text = |listen| configuration(scenario, topology, id, listen, discovery, &endpoints, None);
+    let name = &topology.balancers[id.0].name;
     let process = BalancerProcess::start_on_any_port(program, directory, name, settings_text).await?;
-    Ok(Balancer { copy, address: process.address(), process: Arc::new(Mutex::new(process)) })
+    Ok(Balancer { id, address: process.address(), process: Arc::new(Mutex::new(process)) })
 }
--- a/scale/src/run/perform.rs
+++ b/scale/src/run/perform.rs
@@ -12,7 +12,7 @@
 use crate::plan::Action;
 use crate::record::Record;
 use crate::scenario::Scenario;
-use crate::topology::{CopyId, NodeId, Topology};
+use crate::topology::{BalancerId, NodeId, Topology};
 
 /// Carries out actions. Slow ones run in the background while the next ones are carried out.
 pub struct ActionExecutor<'a> {
@@ -61,7 +61,7 @@
             Action::StopReplica(replica) => fleet.control.stop_replica(replica),
             Action::StartReplica(replica) => self.start_replica(replica),
             Action::BreakWatches => fleet.control.break_watches(),
-            Action::KillBalancer(copy) => self.kill_balancer(copy),
+            Action::KillBalancer(balancer) => self.kill_balancer(balancer),
             Action::NewSettings => self.settings.start(fleet, &mut self.background_tasks),
         }
     }
@@ -118,8 +118,8 @@
         });
     }
 
-    fn kill_balancer(&mut self, copy: CopyId) {
-        let balancer = self.fleet.balancers.iter().find(|balancer| balancer.copy == copy);
+    fn kill_balancer(&mut self, id: BalancerId) {
+        let balancer = self.fleet.balancers.iter().find(|balancer| balancer.id == id);
         let Some(process) = balancer.map(|balancer| balancer.process.clone()) else { return };
         self.background_tasks.spawn(async move { Ok(process.lock().await.kill_and_restart().await?) });
     }
--- a/scale/src/run/settings.rs
+++ b/scale/src/run/settings.rs
@@ -15,7 +15,7 @@
 use crate::process::settings::{CLASS_EXTRA, tenant_name};
 use crate::record::Record;
 use crate::scenario::{Scenario, SettingsChange};
-use crate::topology::{Carrier, CopyId, Topology};
+use crate::topology::{BalancerId, BalancerKind, Topology};
 
 /// Time between two calls that check whether new settings are in force.
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
@@ -50,16 +50,16 @@
     /// Gives the new settings to every balancer at once. If they add a class, each real balancer is called with that
     /// class until it serves it. Whether other changes are in force can't be observed from outside.
     pub fn start(&mut self, fleet: &Fleet, tasks: &mut JoinSet<Result<(), RunError>>) {
-        for (number, copy) in self.topology.copies.iter().enumerate() {
-            let text = self.configuration_text(fleet, CopyId(number), UNUSED_ADDRESS);
-            if copy.carrier == Carrier::Hollow
+        for (number, balancer) in self.topology.balancers.iter().enumerate() {
+            let text = self.configuration_text(fleet, BalancerId(number), UNUSED_ADDRESS);
+            if balancer.kind == BalancerKind::Hollow
                 && let Some(hollow) = &fleet.hollow
             {
-                hollow.reload(CopyId(number), text);
+                hollow.reload(BalancerId(number), text);
             }
         }
         for balancer in &fleet.balancers {
-            let text = self.configuration_text(fleet, balancer.copy, balancer.address);
+            let text = self.configuration_text(fleet, balancer.id, balancer.address);
             self.rollouts += 1;
             tasks.spawn(reload(balancer.clone(), text));
             if self.scenario.changes.settings_kind == SettingsChange::AddClass {
@@ -73,18 +73,10 @@
         }
     }
 
-    fn configuration_text(&self, fleet: &Fleet, copy: CopyId, listen: SocketAddr) -> String {
-        let endpoints = fleet.control.list(self.topology.copies[copy.0].target);
+    fn configuration_text(&self, fleet: &Fleet, id: BalancerId, listen: SocketAddr) -> String {
+        let endpoints = fleet.control.list(self.topology.balancers[id.0].target);
         let change = Some(self.scenario.changes.settings_kind);
-        configuration(
-            self.scenario,
-            self.topology,
-            copy,
-            listen,
-            fleet.control.address(copy),
-            &endpoints,
-            change,
-        )
+        configuration(self.scenario, self.topology, id, listen, fleet.control.address(id), &endpoints, change)
     }
 }
 
@@ -110,7 +102,7 @@
         }
         sleep(POLL_INTERVAL).await;
     }
-    record.measured().settings_missed += 1;
+    record.measured().balancers_without_new_settings += 1;
     Ok(())
 }
 
--- a/scale/src/run/watch.rs
+++ b/scale/src/run/watch.rs
@@ -65,7 +65,7 @@
             self.sampler = Sampler::new(self.process_id);
         }
         if take_sample && let Some(usage) = self.sampler.sample() {
-            record.measured().process_samples.push((self.balancer.copy, usage));
+            record.measured().process_samples.push((self.balancer.id, usage));
         }
         None
     }
--- a/scale/src/table.rs
+++ b/scale/src/table.rs
@@ -115,12 +115,18 @@
     table.add_row(["", "calls", "served", "refused", "failed", "lost", "left"]);
     let rows = [("all calls", report.all), ("real", report.real_calls), ("hollow", report.hollow_calls)];
     for (name, counts) in rows {
-        let figures =
-            [counts.calls, counts.served, counts.refused, counts.failed, counts.lost, counts.client_left];
+        let figures = [
+            counts.calls,
+            counts.served,
+            counts.refused,
+            counts.failed,
+            counts.lost,
+            counts.client_disconnected,
+        ];
         table.add_row(std::iter::once(name.to_owned()).chain(figures.map(|figure| figure.to_string())));
     }
     table.add_row(["run twice".to_owned(), report.duplicated.to_string()]);
-    table.add_row(["cold nodes fallen".to_owned(), report.cold_falls.to_string()]);
+    table.add_row(["cold nodes fallen".to_owned(), report.cold_node_collapses.to_string()]);
 }
 
 fn add_latencies(table: &mut Table, report: &Report) {
--- a/scale/src/topology.rs
+++ b/scale/src/topology.rs
@@ -1,5 +1,7 @@
 //! Layout of the modelled fleet: services, nodes and balancers of a scenario and their zones and regions.
 
+use std::fmt;
+
 use crate::scenario::Fleet;
 
 /// Index of a service in [`Topology::services`]: hollow services first, then one for each real balancer.
@@ -10,9 +12,16 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct NodeId(pub usize);
 
-/// Index of a balancer instance in [`Topology::copies`].
-#[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub struct CopyId(pub usize);
+/// Index of a balancer instance in [`Topology::balancers`].
+#[derive(Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
+pub struct BalancerId(pub usize);
+
+/// Log events name the index of a balancer `CopyId`.
+impl fmt::Debug for BalancerId {
+    fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
+        formatter.debug_tuple("CopyId").field(&self.0).finish()
+    }
+}
 
 /// Number of a zone, unique over all regions.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
@@ -22,9 +31,9 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct RegionId(pub u32);
 
-/// Whether a node or balancer runs on real sockets or is modelled in memory.
+/// Whether a balancer, and the nodes to which it sends, run on real sockets or are modelled in memory.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Carrier {
+pub enum BalancerKind {
     /// On sockets: a stand-in node, or a balancer process.
     Real,
     /// In memory: a modelled node, or a hollow balancer.
@@ -36,14 +45,14 @@
 pub struct Service {
     /// Unique name.
     pub name: String,
-    /// Whether its nodes have sockets or are modelled.
-    pub carrier: Carrier,
+    /// Kind of the balancers that send to it: nodes behind real ones have sockets, the others are modelled.
+    pub balancer_kind: BalancerKind,
     /// Service that its nodes call for requests with more hops.
-    pub next: ServiceId,
+    pub next_service: ServiceId,
     /// Nodes of the service.
     pub nodes: Vec<NodeId>,
     /// Balancers that send requests to it.
-    pub copies: Vec<CopyId>,
+    pub balancers: Vec<BalancerId>,
 }
 
 /// A node that serves requests.
@@ -56,16 +65,16 @@
     /// Zone in which it runs.
     pub zone: ZoneId,
     /// Balancer through which it calls the next service; nodes behind one real balancer share one.
-    pub calls_through: CopyId,
+    pub outbound_balancer: BalancerId,
 }
 
-/// A balancer instance.
+/// A balancer instance of the modelled fleet.
 #[derive(Debug, Clone)]
-pub struct Copy {
+pub struct BalancerSpec {
     /// Unique name.
     pub name: String,
     /// Whether it is a real process or a hollow balancer.
-    pub carrier: Carrier,
+    pub kind: BalancerKind,
     /// Service to which it sends requests.
     pub target: ServiceId,
     /// Zone in which it runs.
@@ -81,8 +90,8 @@
     pub services: Vec<Service>,
     /// All nodes, indexed by [`NodeId`].
     pub nodes: Vec<Node>,
-    /// All balancers, indexed by [`CopyId`].
-    pub copies: Vec<Copy>,
+    /// All balancers, indexed by [`BalancerId`].
+    pub balancers: Vec<BalancerSpec>,
     /// Number of zones over all regions.
     pub zones: u32,
     /// Number of regions.
@@ -98,7 +107,7 @@
         let mut topology = Self {
             services: Vec::new(),
             nodes: Vec::new(),
-            copies: Vec::new(),
+            balancers: Vec::new(),
             zones: fleet.zones.max(1),
             regions: fleet.regions.max(1),
         };
@@ -126,39 +135,44 @@
         for number in 0..services {
             self.services.push(Service {
                 name: format!("service-{number}"),
-                carrier: Carrier::Hollow,
-                next: ServiceId((number + 1) % services),
+                balancer_kind: BalancerKind::Hollow,
+                next_service: ServiceId((number + 1) % services),
                 nodes: Vec::new(),
-                copies: Vec::new(),
+                balancers: Vec::new(),
             });
         }
         for number in 0..hollow {
             let service = ServiceId(number % services);
-            let target = self.services[service.0].next;
+            let target = self.services[service.0].next_service;
             let zone = ZoneId((number / services) as u32 % self.zones);
             let node = NodeId(self.nodes.len());
-            let copy = self.add_copy(format!("hollow-{number}"), Carrier::Hollow, target, zone);
+            let balancer = self.add_balancer(format!("hollow-{number}"), BalancerKind::Hollow, target, zone);
             self.services[service.0].nodes.push(node);
-            self.nodes.push(Node { name: format!("n-{number:05}"), service, zone, calls_through: copy });
+            self.nodes.push(Node {
+                name: format!("n-{number:05}"),
+                service,
+                zone,
+                outbound_balancer: balancer,
+            });
         }
     }
 
     fn add_real_services(&mut self, real: usize, nodes_per_real: usize) {
         let first_service = self.services.len();
-        let first_copy = self.copies.len();
+        let first_balancer = self.balancers.len();
         for number in 0..real {
             self.services.push(Service {
                 name: format!("real-{number}"),
-                carrier: Carrier::Real,
-                next: ServiceId(first_service + (number + 1) % real),
+                balancer_kind: BalancerKind::Real,
+                next_service: ServiceId(first_service + (number + 1) % real),
                 nodes: Vec::new(),
-                copies: Vec::new(),
+                balancers: Vec::new(),
             });
         }
         for number in 0..real {
             let zone = ZoneId(number as u32 % self.zones);
             let service = ServiceId(first_service + number);
-            self.add_copy(format!("real-{number}"), Carrier::Real, service, zone);
+            self.add_balancer(format!("real-{number}"), BalancerKind::Real, service, zone);
             for node_number in 0..nodes_per_real {
                 let node = NodeId(self.nodes.len());
                 self.services[service.0].nodes.push(node);
@@ -166,17 +180,23 @@
                     name: format!("s-{number:03}-{node_number:03}"),
                     service,
                     zone: ZoneId(node_number as u32 % self.zones),
-                    calls_through: CopyId(first_copy + (number + 1) % real),
+                    outbound_balancer: BalancerId(first_balancer + (number + 1) % real),
                 });
             }
         }
     }
 
-    fn add_copy(&mut self, name: String, carrier: Carrier, target: ServiceId, zone: ZoneId) -> CopyId {
-        let id = CopyId(self.copies.len());
-        let index = self.services[target.0].copies.len() as u32;
-        self.services[target.0].copies.push(id);
-        self.copies.push(Copy { name, carrier, target, zone, index });
+    fn add_balancer(
+        &mut self,
+        name: String,
+        kind: BalancerKind,
+        target: ServiceId,
+        zone: ZoneId,
+    ) -> BalancerId {
+        let id = BalancerId(self.balancers.len());
+        let index = self.services[target.0].balancers.len() as u32;
+        self.services[target.0].balancers.push(id);
+        self.balancers.push(BalancerSpec { name, kind, target, zone, index });
         id
     }
 }
--- a/scale/tests/control.rs
+++ b/scale/tests/control.rs
@@ -8,18 +8,18 @@
 use stilelead_scale::control::ControlPlane;
 use stilelead_scale::record::Record;
 use stilelead_scale::scenario::Scenario;
-use stilelead_scale::topology::{CopyId, RegionId, ServiceId, Topology};
+use stilelead_scale::topology::{BalancerId, RegionId, ServiceId, Topology};
 use tokio::io::{AsyncBufReadExt, AsyncReadExt, AsyncWriteExt, BufReader};
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 
 const SERVICE: ServiceId = ServiceId(0);
 /// With three replicas and two regions: a balancer in region 0, as is its replica.
-const IN_REGION_0: CopyId = CopyId(0);
+const IN_REGION_0: BalancerId = BalancerId(0);
 /// A balancer in region 1, as is its replica.
-const IN_REGION_1: CopyId = CopyId(1);
+const IN_REGION_1: BalancerId = BalancerId(1);
 /// A balancer in region 1 whose replica is in region 0.
-const ACROSS_REGIONS: CopyId = CopyId(3);
+const ACROSS_REGIONS: BalancerId = BalancerId(3);
 
 async fn control(settings: &str) -> Arc<ControlPlane> {
     let text = format!(
@@ -52,7 +52,7 @@
     bytes: usize,
 }
 
-async fn call(control: &ControlPlane, balancer: CopyId, query: &str) -> io::Result<Response> {
+async fn call(control: &ControlPlane, balancer: BalancerId, query: &str) -> io::Result<Response> {
     let mut stream = TcpStream::connect(control.address(balancer)).await?;
     stream
         .write_all(format!("GET /catalog/members{query} HTTP/1.1\r\nHost: control\r\n\r\n").as_bytes())
@@ -109,13 +109,13 @@
     }
 }
 
-async fn watch(control: &ControlPlane, balancer: CopyId, since: u64) -> Response {
+async fn watch(control: &ControlPlane, balancer: BalancerId, since: u64) -> Response {
     let response = call(control, balancer, &format!("?follow=1&since={since}")).await.unwrap();
     assert_eq!(response.status, 200);
     response
 }
 
-async fn list(control: &ControlPlane, balancer: CopyId) -> Update {
+async fn list(control: &ControlPlane, balancer: BalancerId) -> Update {
     call(control, balancer, "").await.unwrap().body().await.0
 }
 
--- a/scale/tests/nodes.rs
+++ b/scale/tests/nodes.rs
@@ -12,7 +12,7 @@
 use stilelead_scale::node::server::NodeServers;
 use stilelead_scale::record::Record;
 use stilelead_scale::scenario::Scenario;
-use stilelead_scale::topology::{CopyId, NodeId, Topology};
+use stilelead_scale::topology::{BalancerId, NodeId, Topology};
 use tokio::io::{AsyncBufReadExt, AsyncWriteExt, BufReader};
 use tokio::net::{TcpListener, TcpStream};
 
@@ -20,7 +20,7 @@
 const FIRST: NodeId = NodeId(0);
 /// Node of the second service.
 const SECOND: NodeId = NodeId(1);
-const SECOND_BALANCER: CopyId = CopyId(1);
+const SECOND_BALANCER: BalancerId = BalancerId(1);
 
 /// Starts two services with one node each, whose work takes 10 us.
 async fn nodes(settings: &str) -> (Arc<NodeServers>, Arc<Record>) {
@@ -119,7 +119,7 @@
     let (nodes, record) = nodes("").await;
     // A node of the same service takes the place of each balancer.
     nodes.set_balancer_address(SECOND_BALANCER, nodes.address(SECOND));
-    nodes.set_balancer_address(CopyId(0), nodes.address(FIRST));
+    nodes.set_balancer_address(BalancerId(0), nodes.address(FIRST));
     let served = get(nodes.address(FIRST), "/read?hops=27&hop=1", "a").await.unwrap();
     assert_eq!(served.status, StatusCode::OK);
     let measured = record.measured();
@@ -249,7 +249,7 @@
         assert_eq!(get(address, "/read", id).await.unwrap().status, StatusCode::OK);
     }
     assert!(get(address, "/read", "h").await.is_err());
-    assert_eq!(record.measured().cold_falls, 1);
+    assert_eq!(record.measured().cold_node_collapses, 1);
     assert_eq!(connect(address).await.unwrap_err().kind(), io::ErrorKind::ConnectionRefused);
     nodes.restart(FIRST).await;
     assert_eq!(get(address, "/read", "i").await.unwrap().status, StatusCode::OK);
--- a/scale/tests/plan.rs
+++ b/scale/tests/plan.rs
@@ -6,7 +6,7 @@
 use stilelead_scale::plan::{Action, NodeStatus, Plan, Step};
 use stilelead_scale::scenario::Scenario;
 use stilelead_scale::scenario::load::parse;
-use stilelead_scale::topology::{Carrier, NodeId, RegionId, Topology, ZoneId};
+use stilelead_scale::topology::{BalancerKind, NodeId, RegionId, Topology, ZoneId};
 
 const BASE_SCENARIO: &str = r#"
 name = "plain"
@@ -28,7 +28,7 @@
 }
 
 fn step_times(plan: &Plan, wanted: impl Fn(&Action) -> bool) -> Vec<Duration> {
-    plan.steps.iter().filter(|step| wanted(&step.action)).map(|step| step.at).collect()
+    plan.steps.iter().filter(|step| wanted(&step.action)).map(|step| step.offset).collect()
 }
 
 fn silenced_nodes(plan: &Plan) -> Vec<NodeId> {
@@ -48,7 +48,7 @@
     let (plan, _) = draw(&changes);
     assert_eq!(plan, draw(&changes).0);
     assert_ne!(plan, draw(&[changes[0], changes[1], changes[2], "seed=6"]).0);
-    assert!(plan.steps.is_sorted_by_key(|step| step.at));
+    assert!(plan.steps.is_sorted_by_key(|step| step.offset));
 }
 
 #[test]
@@ -68,8 +68,8 @@
         ]
     };
     assert_eq!(actions, [restart(first), restart(second)].concat());
-    assert_eq!(plan.steps[1].at - plan.steps[0].at, ONE_SECOND, "a second to drain");
-    assert!(plan.faults[0].ends_s >= plan.steps[9].at.as_secs_f64());
+    assert_eq!(plan.steps[1].offset - plan.steps[0].offset, ONE_SECOND, "a second to drain");
+    assert!(plan.faults[0].ends_s >= plan.steps[9].offset.as_secs_f64());
 }
 
 #[test]
@@ -119,17 +119,17 @@
         );
         assert_eq!(restarted.len(), service.nodes.len().div_ceil(2), "{}", service.name);
     }
-    assert!(plan.steps.iter().all(|step| step.at >= 3 * ONE_SECOND && step.at <= 23 * ONE_SECOND));
+    assert!(plan.steps.iter().all(|step| step.offset >= 3 * ONE_SECOND && step.offset <= 23 * ONE_SECOND));
 }
 
 #[test]
 fn a_region_cut_silences_only_nodes_on_the_other_side_until_its_end() {
     let (plan, topology) = draw(&["fault=[{ kind = 'region-cut', at_s = 3, for_s = 6, place = 1 }]"]);
     let other_side = silenced_nodes(&plan);
-    for service in topology.services.iter().filter(|service| service.carrier == Carrier::Real) {
-        let copy = topology.region(topology.copies[service.copies[0].0].zone);
+    for service in topology.services.iter().filter(|service| service.balancer_kind == BalancerKind::Real) {
+        let balancer_region = topology.region(topology.balancers[service.balancers[0].0].zone);
         for node in &service.nodes {
-            let is_cut_off = topology.region(topology.nodes[node.0].zone) != copy;
+            let is_cut_off = topology.region(topology.nodes[node.0].zone) != balancer_region;
             assert_eq!(other_side.contains(node), is_cut_off, "{}", topology.nodes[node.0].name);
         }
     }
@@ -148,12 +148,12 @@
     }
     assert_eq!(plan.steps.len(), 4);
     let (plan, _) = draw(&["fault=[{ kind = 'watches-broken', at_s = 3 }]"]);
-    assert_eq!(plan.steps, [Step { at: 3 * ONE_SECOND, action: Action::BreakWatches }]);
+    assert_eq!(plan.steps, [Step { offset: 3 * ONE_SECOND, action: Action::BreakWatches }]);
     let (plan, topology) = draw(&["fault=[{ kind = 'balancer-killed', at_s = 3, count = 2 }]"]);
     assert_eq!(plan.steps.len(), 2);
     for step in &plan.steps {
-        let Action::KillBalancer(copy) = step.action else { panic!("{step:?}") };
-        assert_eq!(topology.copies[copy.0].carrier, Carrier::Real);
+        let Action::KillBalancer(balancer) = step.action else { panic!("{step:?}") };
+        assert_eq!(topology.balancers[balancer.0].kind, BalancerKind::Real);
     }
 }
 
@@ -167,7 +167,7 @@
     // The mean is 800 with a standard deviation of 28; the seed is fixed.
     assert!((700..900).contains(&(weights + padding)), "{weights} and {padding}");
     assert!(padding > 300 && weights > 300, "{weights} and {padding}");
-    assert!(plan.steps.iter().all(|step| step.at < 40 * ONE_SECOND));
+    assert!(plan.steps.iter().all(|step| step.offset < 40 * ONE_SECOND));
     let (plan, _) = draw(&["changes.lists_per_s=20"]);
     assert!(step_times(&plan, |action| matches!(action, Action::Padding(..))).is_empty());
 }
--- a/scale/tests/quick.rs
+++ b/scale/tests/quick.rs
@@ -35,11 +35,11 @@
         assert_eq!(counts.lost, 0, "{counts:?}");
         assert_eq!(
             counts.calls,
-            counts.served + counts.refused + counts.failed + counts.client_left,
+            counts.served + counts.refused + counts.failed + counts.client_disconnected,
             "{counts:?}"
         );
     }
-    assert_eq!((report.duplicated, report.cold_falls, report.hollow_open_calls), (0, 0, Some(0)));
+    assert_eq!((report.duplicated, report.cold_node_collapses, report.hollow_open_calls), (0, 0, Some(0)));
     assert!(report.list_changes > 0 && report.list_delivery_s.is_some() && report.list_in_force_s.is_some());
     assert_eq!(report.balancers_with_stale_list, Some(0), "balancers without the latest list");
     assert_eq!(report.recovery_s.len(), 2);
--- a/scale/tests/report.rs
+++ b/scale/tests/report.rs
@@ -4,12 +4,12 @@
 use std::time::{Duration, Instant};
 
 use serde_json::{Value, json};
-use stilelead_scale::record::{Call, CallEnd, ControlUsage, ProcessUsage, Record};
-use stilelead_scale::report::{FaultSpan, Report, Run, ServedShare};
+use stilelead_scale::record::{Call, CallOutcome, ControlUsage, ProcessUsage, Record};
+use stilelead_scale::report::{FaultPeriod, Report, Run, ServedShare};
 use stilelead_scale::scenario::load::parse;
 use stilelead_scale::scenario::{FaultKind, Scenario};
 use stilelead_scale::table;
-use stilelead_scale::topology::{Carrier, CopyId};
+use stilelead_scale::topology::{BalancerId, BalancerKind};
 
 const BASE_SCENARIO: &str = r#"
 name = "plain"
@@ -32,17 +32,30 @@
         load_duration_s: 10.0,
         faults: Vec::new(),
         control_usage: Vec::new(),
-        hollow_core_s: 2.0,
+        hollow_cpu_s: 2.0,
         balancers_with_stale_list: None,
-        hollow_end: None,
+        hollow_summary: None,
         tool_usage: None,
         partial_reason: None,
     }
 }
 
-fn call(start: Instant, arrival_ms: u64, carrier: Carrier, hops: u32, end: CallEnd, took_ms: u64) -> Call {
+fn call(
+    start: Instant,
+    arrival_ms: u64,
+    balancer_kind: BalancerKind,
+    hops: u32,
+    outcome: CallOutcome,
+    took_ms: u64,
+) -> Call {
     let latency = Duration::from_millis(took_ms);
-    Call { carrier, hops, end, latency, ended_at: start + Duration::from_millis(arrival_ms) + latency }
+    Call {
+        balancer_kind,
+        hops,
+        outcome,
+        latency,
+        ended_at: start + Duration::from_millis(arrival_ms) + latency,
+    }
 }
 
 fn as_json(report: &Report) -> Value {
@@ -50,15 +63,15 @@
 }
 
 #[test]
-fn calls_are_counted_by_end_carrier_depth_and_second() {
+fn calls_are_counted_by_outcome_balancer_kind_depth_and_second() {
     let (scenario, start, record) = (scenario(&[]), Instant::now(), Record::default());
-    record.add_call(call(start, 100, Carrier::Real, 1, CallEnd::Served, 4));
-    record.add_call(call(start, 900, Carrier::Real, 9, CallEnd::Served, 300));
-    record.add_call(call(start, 1100, Carrier::Real, 1, CallEnd::Refused, 4));
-    record.add_call(call(start, 2100, Carrier::Hollow, 5, CallEnd::Served, 50));
-    record.add_call(call(start, 2200, Carrier::Hollow, 5, CallEnd::Failed, 2000));
-    record.add_call(call(start, 2300, Carrier::Real, 1, CallEnd::Lost, 2500));
-    record.add_call(call(start, 9900, Carrier::Hollow, 5, CallEnd::ClientLeft, 20));
+    record.add_call(call(start, 100, BalancerKind::Real, 1, CallOutcome::Served, 4));
+    record.add_call(call(start, 900, BalancerKind::Real, 9, CallOutcome::Served, 300));
+    record.add_call(call(start, 1100, BalancerKind::Real, 1, CallOutcome::Refused, 4));
+    record.add_call(call(start, 2100, BalancerKind::Hollow, 5, CallOutcome::Served, 50));
+    record.add_call(call(start, 2200, BalancerKind::Hollow, 5, CallOutcome::Failed, 2000));
+    record.add_call(call(start, 2300, BalancerKind::Real, 1, CallOutcome::Lost, 2500));
+    record.add_call(call(start, 9900, BalancerKind::Hollow, 5, CallOutcome::ClientDisconnected, 20));
     let report = as_json(&Report::of(&run(&scenario, start), &record.measured()));
     let counts = |calls: u64, served: u64, refused: u64, failed: u64, lost: u64, left: u64| json!({"calls": calls, "served": served, "refused": refused, "failed": failed, "lost": lost, "left": left});
     assert_eq!(report["real_calls"], counts(4, 2, 1, 0, 1, 0));
@@ -98,12 +111,12 @@
 fn attempts_are_reported_by_hop_and_from_first_to_deepest() {
     let (scenario, start, record) = (scenario(&[]), Instant::now(), Record::default());
     for _ in 0..10 {
-        record.add_call(call(start, 0, Carrier::Hollow, 2, CallEnd::Served, 1));
-        record.count_hop_call(Carrier::Hollow, 1);
+        record.add_call(call(start, 0, BalancerKind::Hollow, 2, CallOutcome::Served, 1));
+        record.count_hop_call(BalancerKind::Hollow, 1);
     }
-    (0..12).for_each(|_| record.count_hop_call(Carrier::Hollow, 2));
-    (0..12).for_each(|_| record.count_attempt(Carrier::Hollow, 1));
-    (0..18).for_each(|_| record.count_attempt(Carrier::Hollow, 2));
+    (0..12).for_each(|_| record.count_hop_call(BalancerKind::Hollow, 2));
+    (0..12).for_each(|_| record.count_attempt(BalancerKind::Hollow, 1));
+    (0..18).for_each(|_| record.count_attempt(BalancerKind::Hollow, 2));
     let report = as_json(&Report::of(&run(&scenario, start), &record.measured()));
     let expected = json!({"by_hop": {"1": 1.2, "2": 1.5}, "deepest_over_first": 1.8});
     assert_eq!(report["hollow_attempts_per_call"], expected);
@@ -118,8 +131,8 @@
 fn process_and_control_usage_is_reported_by_balancer() {
     let (start, record) = (Instant::now(), Record::default());
     let samples = [(4, 1.0, 10.0), (4, 3.0, 12.0), (5, 4.0, 8.0), (5, 8.0, 10.0)];
-    for (copy, core, memory) in samples {
-        record.measured().process_samples.push((CopyId(copy), usage(core, memory)));
+    for (balancer, core, memory) in samples {
+        record.measured().process_samples.push((BalancerId(balancer), usage(core, memory)));
     }
     let idle = scenario(&["load.real_calls_per_s=0"]);
     let control = [1000, 2000, 6000].map(|bytes| ControlUsage { bytes, calls: 2, rejected_calls: 1 });
@@ -146,7 +159,7 @@
         record.measured().list_delivery_us.add(Duration::from_millis(ms));
         record.measured().settings_in_force_us.add(Duration::from_millis(ms));
     }
-    record.measured().settings_missed = 2;
+    record.measured().balancers_without_new_settings = 2;
     let report = as_json(&Report::of(&run(&scenario, start), &record.measured()));
     let assert_near = |value: &Value, expected: f64| {
         let value = value.as_f64().expect("a number");
@@ -170,8 +183,8 @@
     shares
 }
 
-fn fault(at_s: f64, ends_s: f64) -> FaultSpan {
-    FaultSpan { kind: FaultKind::MachineLost, at_s, ends_s }
+fn fault(at_s: f64, ends_s: f64) -> FaultPeriod {
+    FaultPeriod { kind: FaultKind::MachineLost, at_s, ends_s }
 }
 
 #[test]
@@ -228,7 +241,7 @@
 #[test]
 fn the_table_is_aligned() {
     let (scenario, start, record) = (scenario(&[]), Instant::now(), Record::default());
-    record.add_call(call(start, 100, Carrier::Real, 1, CallEnd::Served, 4));
+    record.add_call(call(start, 100, BalancerKind::Real, 1, CallOutcome::Served, 4));
     let text = table::report_table(&Report::of(&run(&scenario, start), &record.measured())).to_string();
     let heading = text.lines().find(|line| line.trim_start().starts_with("calls")).expect("a heading");
     let row = text.lines().find(|line| line.starts_with("all calls")).expect("a row");
