--- a/proxy/tests/attempts.rs
+++ b/proxy/tests/attempts.rs
@@ -15,7 +15,7 @@
     let (balancer, _discovery) = Balancer::with(&[endpoint("s-1", upstream.address, 0, "ready")], 30.0);
     let mut client = balancer.client();
     for number in 0..3 {
-        client.send_as(&format!("id-{number}"), "pay", "instalments");
+        client.send_with_id(&format!("id-{number}"), "pay", "instalments");
         let answer = client.answer().expect("an answer");
         assert_eq!((answer.status(), answer.body), (200, format!("quote {number}").into_bytes()));
     }
@@ -35,7 +35,7 @@
 /// Guards against an upstream's own 503 reaching the client: it may have run, and a refusal would say that it
 /// did not.
 #[test]
-fn a_503_without_the_mark_is_a_failure() {
+fn a_503_without_x_not_run_is_a_failed_attempt() {
     for line in
         ["503 Service Unavailable", "500 Oops\r\nX-Not-Run: 1", "503 Busy\r\nX-Not-Run: 0", "429 Slow"]
     {
@@ -50,7 +50,7 @@
 /// Guards what the mark allows: another attempt for an unsafe request, and a refusal when none is left, at
 /// once and with the advice to stay away.
 #[test]
-fn a_marked_503_is_sent_elsewhere_and_then_refused() {
+fn a_503_with_x_not_run_is_retried_elsewhere_then_refused() {
     let full = || Upstream::start(|_, _| status("503 Full\r\nX-Not-Run: 1"));
     let (first, second) = (full(), full());
     let known = [endpoint("s-1", first.address, 0, "ready"), endpoint("s-2", second.address, 1, "ready")];
@@ -63,7 +63,7 @@
 
 /// Guards the other proof that nothing ran: nobody listens there.
 #[test]
-fn a_refused_connection_is_sent_elsewhere_and_then_refused() {
+fn a_refused_connection_is_retried_elsewhere_then_refused() {
     let upstream = Upstream::start(|_, _| ok("served"));
     let known = [endpoint("s-1", dead_address(), 0, "ready"), endpoint("s-2", upstream.address, 1, "ready")];
     let (balancer, _discovery) = Balancer::with(&known, 30.0);
@@ -77,7 +77,7 @@
 /// Guards against a resend that nobody decided on, and against a refusal for what may have run: once the last
 /// byte is out, a break is a reset, whatever part of an answer came before it.
 #[test]
-fn a_break_after_the_last_byte_may_have_run() {
+fn an_unsafe_request_is_not_retried_once_it_was_sent_whole() {
     for part in [
         "",
         "HTTP/1.1 200 OK\r\nContent-Le",
@@ -97,7 +97,7 @@
     ] {
         let upstream = Upstream::start(move |number, _| match number {
             0 => ok("first"),
-            _ => Reply::Last(part.as_bytes().to_vec()),
+            _ => Reply::BytesThenClose(part.as_bytes().to_vec()),
         });
         let (balancer, _discovery) = Balancer::with(&[endpoint("s-1", upstream.address, 0, "ready")], 30.0);
         let mut client = balancer.client();
@@ -123,7 +123,7 @@
         ("HTTP/1.1 200 OK\r\n\r\n", &long),
     ];
     let written = answers.map(|(head, body)| [head, body].concat().into_bytes());
-    let upstream = Upstream::start(move |number, _| Reply::Last(written[number].clone()));
+    let upstream = Upstream::start(move |number, _| Reply::BytesThenClose(written[number].clone()));
     let (balancer, _discovery) = Balancer::with(&[endpoint("s-1", upstream.address, 0, "ready")], 30.0);
     let mut client = balancer.client();
     for (number, (head, body)) in answers.into_iter().enumerate() {
@@ -136,14 +136,15 @@
 
 /// Guards what such an answer says of its request: the same as one with a length.
 #[test]
-fn an_answer_without_a_length_counts_by_its_status() {
+fn an_answer_without_a_length_is_classified_by_its_status() {
     for (head, status, tried) in [
         ("HTTP/1.1 503 Full\r\nX-Not-Run: 1\r\n\r\n", 503, 2),
         ("HTTP/1.1 503 Full\r\n\r\n", 502, 1),
         ("HTTP/1.1 500 Oops\r\n\r\n", 502, 1),
         ("HTTP/1.1 101 Switching Protocols\r\nConnection: upgrade\r\nUpgrade: echo\r\n\r\n", 502, 1),
     ] {
-        let answering = || Upstream::start(move |_, _| Reply::Last([head, "abcde"].concat().into_bytes()));
+        let answering =
+            || Upstream::start(move |_, _| Reply::BytesThenClose([head, "abcde"].concat().into_bytes()));
         let (first, second) = (answering(), answering());
         let known = [endpoint("s-1", first.address, 0, "ready"), endpoint("s-2", second.address, 0, "ready")];
         let (balancer, _discovery) = Balancer::with(&known, 30.0);
@@ -155,7 +156,7 @@
 /// Guards memory and time against answers without a length that have no end, or are past the limit: the first is given
 /// up with its time, the second at once, though its connection stays open.
 #[test]
-fn an_answer_without_a_length_has_its_limits() {
+fn an_answer_without_a_length_is_limited_in_time_and_size() {
     for (body, aim) in [(3, 0.3), (64 * 1024 + 1, 59.0)] {
         let answer = format!("HTTP/1.1 200 OK\r\n\r\n{}", "x".repeat(body));
         let upstream = Upstream::start(move |_, _| Reply::Bytes(answer.clone().into_bytes()));
@@ -169,7 +170,7 @@
 /// Guards clients against a part of an answer: one that is reset on the way is not whole, though it has no length and
 /// so might end anywhere. It may have run: what must not run twice is failed, what may is sent elsewhere.
 #[test]
-fn a_reset_is_no_end_of_an_answer() {
+fn a_reset_does_not_complete_an_answer() {
     let long = format!("HTTP/1.1 200 OK\r\n\r\n{}", "x".repeat(60 * 1024));
     let parts = [
         "HTTP/1.1 200 OK\r\n\r\nabcde",
@@ -209,7 +210,7 @@
 /// Guards the same where the reset comes while the request is still being written, whose side may hear of it first: it
 /// is failed, or refused as one that was never written whole.
 #[test]
-fn a_reset_under_a_request_is_no_end_of_its_answer() {
+fn a_reset_while_the_request_is_written_does_not_complete_its_answer() {
     let socket = Socket::new(Domain::IPV4, Type::STREAM, None).expect("a socket");
     socket.set_recv_buffer_size(4096).expect("set");
     socket.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into()).expect("a free port");
@@ -230,8 +231,8 @@
 
 /// Guards the group of a keyed request: what may have run is repeated only where repeats are dropped.
 #[test]
-fn a_keyed_request_is_repeated_within_its_cell_only() {
-    let failing = || Upstream::start(|_, _| Reply::Last(Vec::new()));
+fn a_keyed_request_is_retried_within_its_cell_only() {
+    let failing = || Upstream::start(|_, _| Reply::BytesThenClose(Vec::new()));
     let (first, same, other) = (failing(), failing(), failing());
     let known = [
         endpoint("s-1", first.address, 4, "ready"),
@@ -257,7 +258,7 @@
 
 /// Guards against a client's short patience being taken for the class's long one.
 #[test]
-fn the_answer_does_not_outlast_the_clients_deadline() {
+fn the_client_is_answered_by_its_own_deadline() {
     let upstream = Upstream::start(|_, _| Reply::Silence);
     let (balancer, _discovery) = Balancer::with(&[endpoint("s-1", upstream.address, 0, "ready")], 59.0);
     let mut client = balancer.client();
@@ -271,7 +272,7 @@
 
 /// Guards against work for nobody: a client that leaves takes its attempt along.
 #[test]
-fn a_client_that_leaves_stops_its_attempt() {
+fn a_client_that_disconnects_cancels_its_attempt() {
     let upstream = Upstream::start(|_, _| Reply::Silence);
     let (balancer, _discovery) = Balancer::with(&[endpoint("s-1", upstream.address, 0, "ready")], 50.0);
     let mut client = balancer.client();
@@ -285,12 +286,12 @@
 /// Guards the same where a client's connection is reset, before the request's attempt is out or after, with nothing or
 /// with bytes behind the request.
 #[test]
-fn a_client_whose_connection_is_reset_has_left() {
+fn a_reset_client_connection_cancels_its_attempt() {
     for behind in ["", "GET /re"] {
         let upstream = Upstream::start(|_, _| Reply::Silence);
         let (balancer, _discovery) = Balancer::with(&[endpoint("s-1", upstream.address, 0, "ready")], 50.0);
         let mut client = balancer.client();
-        client.send_as("mine", "order", "one");
+        client.send_with_id("mine", "order", "one");
         client.raw(behind.as_bytes());
         upstream.wait_requests(1);
         reset(client.0);
@@ -301,14 +302,14 @@
     let (balancer, _discovery) =
         Balancer::with(&[endpoint("s-1", listener.local_addr().expect("bound"), 0, "ready")], 50.0);
     let mut client = balancer.client();
-    client.send_as("mine", "order", "left");
-    balancer.catches_up();
+    client.send_with_id("mine", "order", "left");
+    balancer.wait_until_caught_up();
     reset(client.0);
     // Its id is free again once the balancer has seen it.
     let mut stays = wait_for("the id is free", || {
         let mut client = balancer.client();
-        client.send_as("mine", "order", "stays");
-        balancer.catches_up();
+        client.send_with_id("mine", "order", "stays");
+        balancer.wait_until_caught_up();
         client.0.set_nonblocking(true).expect("set");
         let open = client.0.peek(&mut [0]).is_err_and(|error| error.kind() == ErrorKind::WouldBlock);
         client.0.set_nonblocking(false).expect("set");
@@ -325,7 +326,7 @@
 #[test]
 fn a_connection_that_the_upstream_closed_is_not_used_again() {
     let upstream = Upstream::start(|_, _| {
-        Reply::Last(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\nConnection: close\r\n\r\nok".to_vec())
+        Reply::BytesThenClose(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\nConnection: close\r\n\r\nok".to_vec())
     });
     let (balancer, _discovery) = Balancer::with(&[endpoint("s-1", upstream.address, 0, "ready")], 30.0);
     let mut client = balancer.client();
@@ -338,7 +339,7 @@
 /// Guards requests against what an earlier answer left behind on a connection: whether it comes with the answer
 /// or later, it answers nobody.
 #[test]
-fn what_is_left_over_answers_nobody() {
+fn leftover_bytes_of_an_answer_are_not_taken_for_the_next() {
     for behind in
         ["HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nstale", "\0noise", "HTTP/1.1 100 Continue\r\n\r\n"]
     {
@@ -365,7 +366,7 @@
 /// Guards time and memory against answers that have no end: each is given up long before the client is, and its
 /// connection closed at once.
 #[test]
-fn an_answer_without_end_is_given_up() {
+fn an_endless_answer_is_abandoned() {
     let length = "HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nabc".to_owned();
     let head = format!("HTTP/1.1 200 OK\r\nX-Fill: {}", "x".repeat(1 << 20));
     let interim = "HTTP/1.1 102 Processing\r\n\r\n".repeat(1 << 16);
@@ -389,13 +390,13 @@
 /// Found on r7909: 30 ms taken off a client's time in each tier left nothing of the time of clients with short deadlines, and
 /// their calls were refused unsent below the first tier.
 #[test]
-fn a_call_with_little_time_left_is_still_sent() {
+fn a_call_with_a_short_deadline_is_still_sent() {
     let upstream = Upstream::start(|_, _| ok("served"));
     let (balancer, _discovery) = Balancer::with(&[endpoint("s-1", upstream.address, 0, "ready")], 0.5);
     let mut client = balancer.client();
     // One may be held up on a busy machine; of many one gets through, or none ever does.
     wait_for("a call with a short deadline is sent", || {
-        client.send_within(0.03, "read");
+        client.send_with_deadline(0.03, "read");
         client.answer().expect("an answer in any case");
         (!upstream.requests().is_empty()).then_some(())
     });
@@ -412,19 +413,19 @@
 /// Guards against work for nobody where a client has left while its request waited for a connection: it does not
 /// go out when that comes up, whatever the settings allow. One whose client is still there does.
 #[test]
-fn a_connection_that_comes_up_late_carries_nothing_for_a_client_that_has_left() {
+fn a_late_connection_does_not_carry_the_request_of_a_disconnected_client() {
     let (listener, filling) = full_listener();
     let known = [endpoint("s-1", listener.local_addr().expect("bound"), 0, "ready")];
     let discovery = Discovery::start();
     let balancer = Balancer::start(&without_cancel(&discovery, &known));
     let (mut leaves, mut stays) = (balancer.client(), balancer.client());
-    leaves.send_as("mine", "order", "leaves");
-    balancer.catches_up();
+    leaves.send_with_id("mine", "order", "leaves");
+    balancer.wait_until_caught_up();
     drop(leaves);
-    balancer.catches_up();
+    balancer.wait_until_caught_up();
     // The id is free again, and not answered with a conflict: its attempt is over and not just alone.
-    stays.send_as("mine", "order", "stays");
-    balancer.catches_up();
+    stays.send_with_id("mine", "order", "stays");
+    balancer.wait_until_caught_up();
     stays.0.set_nonblocking(true).expect("set");
     assert!(stays.0.peek(&mut [0]).is_err_and(|error| error.kind() == ErrorKind::WouldBlock));
     stays.0.set_nonblocking(false).expect("set");
@@ -438,7 +439,7 @@
 /// Guards the same for a request that waits for another attempt: the first ends after the client has gone, in a
 /// way in which it would be sent again.
 #[test]
-fn an_attempt_that_fails_after_the_client_has_left_is_the_last() {
+fn a_failed_attempt_is_not_retried_after_its_client_disconnected() {
     let (fail, failing) = std::sync::mpsc::channel::<()>();
     let failing = std::sync::Mutex::new(failing);
     let script = move |_: usize, message: &Message| {
@@ -474,7 +475,7 @@
     leaves.send("read", "");
     wait_for("the first attempt", || (seen() == 3).then_some(()));
     drop(leaves);
-    balancer.catches_up();
+    balancer.wait_until_caught_up();
     fail.send(()).expect("an upstream waits");
     // Whatever follows the failure is sent before what comes after the next answer.
     for asked in 4..8 {
@@ -486,7 +487,7 @@
 /// Guards against a client that leaves unseen: hyper listens no more once something has come behind the request,
 /// be it a part of a next one, a whole one, or more than is kept of it, together with the request or later.
 #[test]
-fn a_client_is_seen_to_leave_behind_what_it_sent_ahead() {
+fn a_disconnect_is_noticed_behind_pipelined_bytes() {
     let whole = "GET /read HTTP/1.1\r\nHost: a\r\nX-Request-Id: next\r\nX-Tenant: acme\r\n\r\n";
     for behind in ["GET /re".to_owned(), whole.to_owned(), format!("GET /{}", "x".repeat(1 << 20))] {
         for together in [true, false] {
@@ -513,7 +514,7 @@
 /// Guards against work for nobody behind a request that is out: what its client has sent ahead is not sent on once it has
 /// left, in order or by a reset, though a connection is kept that would take it at once.
 #[test]
-fn what_was_sent_ahead_is_not_sent_on_once_its_client_has_left() {
+fn pipelined_requests_of_a_disconnected_client_are_dropped() {
     for resets in [false, true] {
         let upstream =
             Upstream::start(|_, message| if message.body == b"held" { Reply::Silence } else { ok("served") });
@@ -525,14 +526,14 @@
         for _ in 0..3 {
             client.send("order", "ahead");
         }
-        balancer.catches_up();
+        balancer.wait_until_caught_up();
         if resets {
             reset(client.0);
         } else {
             drop(client);
         }
         upstream.wait_closed(1);
-        balancer.catches_up();
+        balancer.wait_until_caught_up();
         assert_eq!(balancer.client().ask("order", "last").status(), 200);
         let bodies: Vec<_> = upstream.requests().into_iter().map(|(_, request)| request.body).collect();
         assert_eq!(bodies, [&b"held"[..], b"first", b"last"], "reset: {resets}");
@@ -542,7 +543,7 @@
 /// Guards what is read ahead: a next request that comes early is answered after the first, whole, and one that
 /// is too long to be kept ends the connection with the first answer.
 #[test]
-fn a_request_sent_ahead_is_answered_in_its_turn() {
+fn pipelined_requests_are_answered_in_order() {
     let (release, held) = std::sync::mpsc::channel::<()>();
     let held = std::sync::Mutex::new(held);
     let upstream = Upstream::start(move |_, message| {
@@ -556,9 +557,9 @@
     client.send("order", "held");
     upstream.wait_requests(1);
     client.send("order", "second");
-    balancer.catches_up();
+    balancer.wait_until_caught_up();
     client.send("order", "third");
-    balancer.catches_up();
+    balancer.wait_until_caught_up();
     release.send(()).expect("the upstream waits");
     for body in [&b"held"[..], b"second", b"third"] {
         assert_eq!(client.answer().expect("an answer").body, body);
@@ -566,7 +567,7 @@
     client.send("order", "held");
     upstream.wait_requests(4);
     client.raw(format!("GET /read?{} HTTP/1.1\r\n\r\n", "x".repeat(1 << 18)).as_bytes());
-    balancer.catches_up();
+    balancer.wait_until_caught_up();
     release.send(()).expect("the upstream waits");
     let answer = client.answer().expect("an answer");
     assert_eq!((answer.status(), answer.header("connection")), (200, Some("close")));
@@ -576,7 +577,7 @@
 /// Guards short windows for repeats: what may have run goes out again within the window only, and does not wait for a
 /// connection that comes up when it is over. Before, it is repeated.
 #[test]
-fn a_repeat_does_not_go_out_after_its_window() {
+fn a_retry_is_not_sent_after_its_deduplication_window() {
     for (window, late) in [("2.0", true), ("30.0", false)] {
         let (release, held) = std::sync::mpsc::channel::<()>();
         let held = std::sync::Mutex::new(held);
@@ -585,7 +586,7 @@
                 return ok("served");
             }
             let _ = held.lock().expect("no panic").recv();
-            Reply::Last(Vec::new())
+            Reply::BytesThenClose(Vec::new())
         });
         let (listener, filling) = full_listener();
         let second = listener.local_addr().expect("bound");
@@ -600,7 +601,7 @@
         let mut client = balancer.client();
         client.send("pay", "one");
         first.wait_requests(1);
-        watch.says(8, false, &[endpoint("s-2", second, 0, "ready")]);
+        watch.send_update(8, false, &[endpoint("s-2", second, 0, "ready")]);
         watch.end();
         let (line, _watch) = discovery.watch();
         assert_eq!(line, "GET /catalog/members?follow=1&since=8 HTTP/1.1");
@@ -623,7 +624,7 @@
 /// Guards drains against attempts under way: what waits for its connection while its upstream begins to drain
 /// does not go out there, and is served elsewhere.
 #[test]
-fn a_connection_that_comes_up_after_the_drain_carries_nothing() {
+fn a_connection_established_after_a_drain_began_carries_no_request() {
     let (listener, filling) = full_listener();
     let draining = listener.local_addr().expect("bound");
     let other = Upstream::start(|_, _| ok("other"));
@@ -636,8 +637,8 @@
     let (_, watch) = discovery.watch();
     let mut client = balancer.client();
     client.send("order", "one");
-    balancer.catches_up();
-    watch.says(
+    balancer.wait_until_caught_up();
+    watch.send_update(
         8,
         false,
         &[endpoint("s-1", draining, 0, "draining"), endpoint("s-2", other.address, 1, "ready")],
--- a/proxy/tests/clients.rs
+++ b/proxy/tests/clients.rs
@@ -10,7 +10,7 @@
 
 /// Guards the decisions against what they can't take, and the client against silence.
 #[test]
-fn a_bad_request_is_told_so_and_harms_nobody() {
+fn an_invalid_request_is_rejected_and_not_passed_on() {
     let upstream = Upstream::start(|_, _| ok("served"));
     let (balancer, _discovery) = Balancer::with(&[endpoint("s-1", upstream.address, 0, "ready")], 30.0);
     let good = "GET /read HTTP/1.1\r\nHost: a\r\nX-Request-Id: r\r\nX-Tenant: acme\r\nX-Deadline: 9\r\n\r\n";
@@ -45,7 +45,7 @@
 /// Guards upstreams against a request that hides another, or whose end is in doubt: nothing of it is passed on,
 /// and the connection ends with the error, so that nothing behind it is read as a request.
 #[test]
-fn a_request_whose_end_is_in_doubt_is_not_passed_on() {
+fn a_request_with_ambiguous_framing_is_not_passed_on() {
     let upstream = Upstream::start(|_, _| ok("served"));
     let (balancer, _discovery) = Balancer::with(&[endpoint("s-1", upstream.address, 0, "ready")], 30.0);
     let hidden =
@@ -90,21 +90,21 @@
 
 /// Guards against a second copy at an upstream: an id is not taken again while its request is open.
 #[test]
-fn an_id_that_is_open_is_not_taken_again() {
+fn the_id_of_an_open_request_is_rejected() {
     let upstream = Upstream::start(|number, _| if number == 0 { Reply::Silence } else { ok("served") });
     let (balancer, _discovery) = Balancer::with(&[endpoint("s-1", upstream.address, 0, "ready")], 30.0);
     let mut first = balancer.client();
-    first.send_as("mine", "order", "one");
+    first.send_with_id("mine", "order", "one");
     upstream.wait_requests(1);
     let mut second = balancer.client();
-    second.send_as("mine", "order", "one");
+    second.send_with_id("mine", "order", "one");
     assert_eq!(second.answer().expect("an answer").status(), 409);
     assert_eq!(upstream.requests().len(), 1);
     // Once it is over, the id is nobody's.
     first.0.shutdown(std::net::Shutdown::Both).expect("closed");
     upstream.wait_closed(1);
     wait_for("the id is free", || {
-        second.send_as("mine", "order", "one");
+        second.send_with_id("mine", "order", "one");
         (second.answer().expect("an answer").status() == 200).then_some(())
     });
 }
@@ -112,7 +112,7 @@
 /// Guards sockets against clients that never come to the end of a request, or stay after one: each gets an
 /// error or a close by itself, and one that stays gets it later than one that is silent from the start.
 #[test]
-fn a_client_without_a_whole_request_is_hung_up_on() {
+fn a_client_without_a_complete_request_is_disconnected() {
     let upstream = Upstream::start(|_, _| ok("served"));
     let (balancer, _discovery) = Balancer::with(&[endpoint("s-1", upstream.address, 0, "ready")], 30.0);
     let mut stays = balancer.client();
@@ -147,7 +147,7 @@
 /// Guards answers against what comes behind them: a connection is not closed over bytes that nobody has read, which would
 /// reset it and take along what the system still holds of the answer.
 #[test]
-fn an_answer_arrives_whole_whatever_comes_behind_it() {
+fn unread_bytes_from_the_client_do_not_cut_off_its_answer() {
     let body = "x".repeat(60 * 1024);
     let shared = body.clone();
     let upstream = Upstream::start(move |_, _| ok(&shared));
@@ -157,16 +157,16 @@
     socket.set_recv_buffer_size(4096).expect("set");
     socket.connect(&balancer.address.into()).expect("accepted");
     let mut client = Client(socket.into());
-    client.0.set_read_timeout(Some(LONG)).expect("set");
+    client.0.set_read_timeout(Some(HANG_TIMEOUT)).expect("set");
     // Where a body comes in chunks its connection ends with the answer.
     client.raw(
         b"POST /order HTTP/1.1\r\nHost: a\r\nX-Request-Id: o\r\nX-Tenant: acme\r\nTransfer-Encoding: chunked\r\n\r\n\
           0\r\n\r\n",
     );
     assert_eq!(client.0.peek(&mut [0]).expect("an answer begins"), 1);
-    balancer.catches_up();
+    balancer.wait_until_caught_up();
     client.raw(b"GET /read HTTP/1.1\r\nHost: a\r\n\r\n");
-    balancer.catches_up();
+    balancer.wait_until_caught_up();
     let answer = client.answer().expect("a whole answer");
     assert_eq!((answer.status(), answer.body.len()), (200, body.len()));
     assert!(client.answer().is_none());
@@ -176,17 +176,17 @@
 /// Guards clients that rest until the balancer ends their connection and send just then: what comes behind the end is
 /// not sent on, as no answer could reach them; they send it once more elsewhere.
 #[test]
-fn a_request_behind_the_end_of_its_connection_is_not_sent_on() {
+fn a_request_sent_after_its_connection_was_closed_is_not_passed_on() {
     let upstream = Upstream::start(|_, _| ok("served"));
     let (balancer, _discovery) = Balancer::with(&[endpoint("s-1", upstream.address, 0, "ready")], 30.0);
     let mut client = balancer.client();
     assert_eq!(client.ask("order", "one").status(), 200);
     assert!(client.answer().is_none(), "it rests until it is ended");
-    client.send_as("late", "order", "late");
+    client.send_with_id("late", "order", "late");
     assert!(client.answer().is_none());
     let _ = client.0.shutdown(std::net::Shutdown::Write);
     let mut next = balancer.client();
-    next.send_as("late", "order", "again");
+    next.send_with_id("late", "order", "again");
     assert_eq!(next.answer().expect("an answer").status(), 200);
     let bodies: Vec<_> = upstream.requests().into_iter().map(|(_, request)| request.body).collect();
     assert_eq!(bodies, [&b"one"[..], b"again"]);
@@ -194,7 +194,7 @@
 
 /// Guards the descriptor limit: idle clients give way to new ones, and nobody is left waiting.
 #[test]
-fn idle_clients_give_way_when_sockets_run_out() {
+fn idle_clients_are_evicted_when_sockets_run_out() {
     let upstream = Upstream::start(|_, _| ok("served"));
     let discovery = Discovery::start();
     let known = [endpoint("s-1", upstream.address, 0, "ready")];
@@ -213,7 +213,7 @@
 
 /// Guards clients whose next request is coming in, when others must give way: one that is idle goes instead.
 #[test]
-fn a_client_whose_request_is_coming_in_does_not_give_way() {
+fn a_client_in_the_middle_of_a_request_is_not_evicted() {
     let upstream = Upstream::start(|_, _| ok("served"));
     let discovery = Discovery::start();
     let known = [endpoint("s-1", upstream.address, 0, "ready")];
@@ -237,7 +237,7 @@
 
 /// Guards clients that were served just now, when sockets run short: idle connections to upstreams go first.
 #[test]
-fn clients_in_use_outlast_idle_connections_to_upstreams() {
+fn idle_upstream_connections_are_closed_before_recent_clients() {
     let (release, held) = std::sync::mpsc::channel::<()>();
     let held = std::sync::Mutex::new(held);
     let upstream = Upstream::start(move |_, message| {
@@ -269,7 +269,7 @@
 
 /// Guards the same against connections that never carry a request.
 #[test]
-fn silent_clients_give_way_too() {
+fn clients_that_never_send_a_request_are_evicted() {
     let upstream = Upstream::start(|_, _| ok("served"));
     let discovery = Discovery::start();
     let known = [endpoint("s-1", upstream.address, 0, "ready")];
@@ -283,7 +283,7 @@
 
 /// Guards the read of a request that comes in pieces: it is taken with its last byte.
 #[test]
-fn a_request_may_come_in_pieces() {
+fn a_request_may_arrive_in_pieces() {
     let upstream = Upstream::start(|_, _| ok("served"));
     let (balancer, _discovery) = Balancer::with(&[endpoint("s-1", upstream.address, 0, "ready")], 30.0);
     let mut client = balancer.client();
@@ -312,7 +312,7 @@
         client.send("order", "one");
         client.0.set_read_timeout(Some(std::time::Duration::from_millis(200))).expect("set");
         let answered = client.0.peek(&mut [0]).is_ok();
-        client.0.set_read_timeout(Some(LONG)).expect("set");
+        client.0.set_read_timeout(Some(HANG_TIMEOUT)).expect("set");
         if answered {
             return client.answer();
         }
@@ -330,7 +330,7 @@
     let upstream = Upstream::start(|_, _| ok("served"));
     let discovery = Discovery::start();
     let known = [endpoint("s-1", upstream.address, 0, "ready")];
-    let mut child = program_within(32, &configuration(discovery.address, &known, 30.0, 1024));
+    let mut child = program_with_descriptor_limit(32, &configuration(discovery.address, &known, 30.0, 1024));
     let (address, log) = address(&mut child);
     drop(log);
     let many: Vec<Client> = (0..80).map(|_| Client::connect(address)).collect();
@@ -354,7 +354,7 @@
 /// connections that they have, too: they may have nowhere else to go. Then each connection is closed between
 /// requests, what was taken is finished, and the program ends by itself.
 #[test]
-fn sigterm_finishes_what_was_taken() {
+fn sigterm_finishes_accepted_requests() {
     let (release, held) = std::sync::mpsc::channel::<()>();
     let held = std::sync::Mutex::new(held);
     let upstream = Upstream::start(move |number, _| {
@@ -391,7 +391,7 @@
 /// Guards the end against signals that come together, at the start, twice, in any order: what was taken before is
 /// answered, also when it was only half in, and the program ends in peace.
 #[test]
-fn signals_that_cross_end_the_program_in_peace() {
+fn overlapping_signals_end_the_program_cleanly() {
     for signals in [["TERM", "TERM"], ["HUP", "TERM"], ["TERM", "HUP"]] {
         let (release, held) = std::sync::mpsc::channel::<()>();
         let held = std::sync::Mutex::new(held);
@@ -404,7 +404,7 @@
         let (old, new) = (Discovery::start(), Discovery::start());
         let known = [endpoint("s-1", upstream.address, 0, "ready")];
         let file = configuration_file(&configuration(old.address, &known, 30.0, 1024));
-        let mut child = command_within(1024, &file).spawn().expect("starts");
+        let mut child = command_with_descriptor_limit(1024, &file).spawn().expect("starts");
         let (address, _log) = address(&mut child);
         let mut taken = Client::connect(address);
         taken.send("order", "one");
@@ -430,7 +430,7 @@
 /// Guards what was taken against the kill that follows SIGTERM: it gets its one answer before, though an
 /// attempt that may have run is still out.
 #[test]
-fn the_end_answers_what_is_still_out() {
+fn shutdown_answers_requests_in_flight() {
     let upstream = Upstream::start(|_, _| Reply::Silence);
     let (mut balancer, _discovery) = Balancer::with(&[endpoint("s-1", upstream.address, 0, "ready")], 50.0);
     let mut early = balancer.client();
@@ -533,8 +533,10 @@
     let known = [endpoint("s-1", upstream.address, 0, "ready")];
     let text = |discovery: &Discovery| configuration(discovery.address, &known, 30.0, 1024);
     let file = configuration_file(&text(&old));
-    let mut child =
-        command_within(1024, &file).env("PROXY_DISCOVERY", old.address.to_string()).spawn().expect("starts");
+    let mut child = command_with_descriptor_limit(1024, &file)
+        .env("PROXY_DISCOVERY", old.address.to_string())
+        .spawn()
+        .expect("starts");
     let (address, mut log) = address(&mut child);
     let _old_watch = old.watch();
     let hang_up = |text: &str| {
@@ -558,7 +560,7 @@
 
 /// Guards operators against a program that runs on a configuration it did not understand.
 #[test]
-fn a_bad_configuration_is_a_plain_message() {
+fn an_invalid_configuration_is_reported_and_refused() {
     let sound = configuration(dead_address(), &[], 1.0, 1024);
     for (text, part) in [
         ("{".to_owned(), "malformed"),
--- a/proxy/tests/common/mod.rs
+++ b/proxy/tests/common/mod.rs
@@ -20,16 +20,16 @@
 use tokio::sync::oneshot;
 
 /// Longer than anything takes that works.
-pub const LONG: Duration = Duration::from_secs(30);
+pub const HANG_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Waits until `happened` gives something.
-pub fn wait_for<T>(what: &str, mut happened: impl FnMut() -> Option<T>) -> T {
+/// Waits until `condition` gives something.
+pub fn wait_for<T>(what: &str, mut condition: impl FnMut() -> Option<T>) -> T {
     let start = Instant::now();
     loop {
-        if let Some(value) = happened() {
+        if let Some(value) = condition() {
             return value;
         }
-        assert!(start.elapsed() < LONG, "never happened: {what}");
+        assert!(start.elapsed() < HANG_TIMEOUT, "timed out waiting for: {what}");
         thread::sleep(Duration::from_millis(2));
     }
 }
@@ -90,7 +90,7 @@
     /// Writes these bytes and goes on.
     Bytes(Vec<u8>),
     /// Writes these bytes and closes.
-    Last(Vec<u8>),
+    BytesThenClose(Vec<u8>),
     /// Writes these bytes and resets the connection, at once or when they have been read.
     Reset(Vec<u8>, bool),
     /// Says nothing until the balancer closes.
@@ -106,7 +106,7 @@
 }
 
 #[derive(Debug, Default)]
-struct Seen {
+struct Observed {
     requests: Vec<(usize, Message)>,
     connections: usize,
     /// Connections that the balancer has closed.
@@ -115,7 +115,7 @@
 
 pub struct Upstream {
     pub address: SocketAddr,
-    seen: Arc<Mutex<Seen>>,
+    observed: Arc<Mutex<Observed>>,
 }
 
 impl Upstream {
@@ -130,28 +130,28 @@
         script: impl Fn(usize, &Message) -> Reply + Send + Sync + 'static,
     ) -> Self {
         let address = listener.local_addr().expect("bound");
-        let seen = Arc::new(Mutex::new(Seen::default()));
-        let (shared, script) = (Arc::clone(&seen), Arc::new(script));
+        let observed = Arc::new(Mutex::new(Observed::default()));
+        let (shared, script) = (Arc::clone(&observed), Arc::new(script));
         thread::spawn(move || {
             for stream in listener.incoming().flatten() {
-                let (seen, script) = (Arc::clone(&shared), Arc::clone(&script));
+                let (observed, script) = (Arc::clone(&shared), Arc::clone(&script));
                 let connection = {
-                    let mut seen = seen.lock().expect("no panic");
-                    seen.connections += 1;
-                    seen.connections
+                    let mut observed = observed.lock().expect("no panic");
+                    observed.connections += 1;
+                    observed.connections
                 };
-                thread::spawn(move || serve_upstream(stream, connection, &seen, &*script));
+                thread::spawn(move || serve_upstream(stream, connection, &observed, &*script));
             }
         });
-        Self { address, seen }
+        Self { address, observed }
     }
 
     pub fn requests(&self) -> Vec<(usize, Message)> {
-        self.seen.lock().expect("no panic").requests.clone()
+        self.observed.lock().expect("no panic").requests.clone()
     }
 
     pub fn connections(&self) -> usize {
-        self.seen.lock().expect("no panic").connections
+        self.observed.lock().expect("no panic").connections
     }
 
     pub fn wait_requests(&self, count: usize) {
@@ -160,7 +160,7 @@
 
     pub fn wait_closed(&self, count: usize) {
         wait_for("the balancer closes", || {
-            (self.seen.lock().expect("no panic").closed >= count).then_some(())
+            (self.observed.lock().expect("no panic").closed >= count).then_some(())
         });
     }
 }
@@ -168,27 +168,27 @@
 fn serve_upstream(
     mut stream: TcpStream,
     connection: usize,
-    seen: &Mutex<Seen>,
+    observed: &Mutex<Observed>,
     script: &(dyn Fn(usize, &Message) -> Reply + Send + Sync),
 ) {
     while let Some(message) = read_message(&mut stream) {
         let number = {
-            let mut seen = seen.lock().expect("no panic");
-            seen.requests.push((connection, message.clone()));
-            seen.requests.len() - 1
+            let mut observed = observed.lock().expect("no panic");
+            observed.requests.push((connection, message.clone()));
+            observed.requests.len() - 1
         };
         match script(number, &message) {
             Reply::Bytes(bytes) => {
                 let _ = stream.write_all(&bytes);
             }
-            Reply::Last(bytes) => {
+            Reply::BytesThenClose(bytes) => {
                 let _ = stream.write_all(&bytes);
                 return;
             }
-            Reply::Reset(bytes, when_read) => {
+            Reply::Reset(bytes, after_read) => {
                 let _ = stream.write_all(&bytes);
-                if when_read {
-                    wait_for("the answer is read", || is_read(&stream).then_some(()));
+                if after_read {
+                    wait_for("the answer is read", || is_fully_read(&stream).then_some(()));
                 }
                 reset(stream);
                 return;
@@ -196,11 +196,11 @@
             Reply::Silence => {}
         }
     }
-    seen.lock().expect("no panic").closed += 1;
+    observed.lock().expect("no panic").closed += 1;
 }
 
 /// Whether the other side has taken all that was written.
-fn is_read(stream: &TcpStream) -> bool {
+fn is_fully_read(stream: &TcpStream) -> bool {
     let address = |address: SocketAddr| match address {
         SocketAddr::V4(address) => {
             format!("{:08X}:{:04X}", u32::from_ne_bytes(address.ip().octets()), address.port())
@@ -228,16 +228,16 @@
     socket.listen(0).expect("bound");
     let listener = TcpListener::from(socket);
     let address = listener.local_addr().expect("bound");
-    let mut filling = Vec::new();
-    let mut waited = 0;
+    let mut queued_connections = Vec::new();
+    let mut timeouts = 0;
     // On loopback one comes up at once or, the queue full, not at all.
-    while waited < 2 {
+    while timeouts < 2 {
         match TcpStream::connect_timeout(&address, Duration::from_millis(500)) {
-            Ok(stream) => filling.push(stream),
-            Err(_) => waited += 1,
+            Ok(stream) => queued_connections.push(stream),
+            Err(_) => timeouts += 1,
         }
     }
-    (listener, filling)
+    (listener, queued_connections)
 }
 
 /// An address where nothing listens. Its port stays bound, or another test's upstream might get it.
@@ -266,27 +266,27 @@
 
 impl Discovery {
     pub fn start() -> Self {
-        Self::beating(Duration::from_millis(500))
+        Self::with_heartbeat(Duration::from_millis(500))
     }
 
-    /// One whose watches say so every `beat` that nothing has changed.
-    pub fn beating(beat: Duration) -> Self {
-        Self::on(TcpListener::bind("127.0.0.1:0").expect("a free port"), beat)
+    /// One whose watches say so every `heartbeat` that nothing has changed.
+    pub fn with_heartbeat(heartbeat: Duration) -> Self {
+        Self::on(TcpListener::bind("127.0.0.1:0").expect("a free port"), heartbeat)
     }
 
     /// The same on a listener that is there already.
-    pub fn on(listener: TcpListener, beat: Duration) -> Self {
+    pub fn on(listener: TcpListener, heartbeat: Duration) -> Self {
         let address = listener.local_addr().expect("bound");
-        let (report, watches) = mpsc::channel();
+        let (watch_sender, watches) = mpsc::channel();
         thread::spawn(move || {
             for mut stream in listener.incoming().flatten() {
-                let report = report.clone();
+                let watch_sender = watch_sender.clone();
                 thread::spawn(move || {
                     let Some(message) = read_message(&mut stream) else { return };
-                    let (feed, food) = mpsc::channel();
+                    let (chunk_sender, chunks) = mpsc::channel();
                     let _ = stream.write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
-                    if report.send((message.line, feed)).is_ok() {
-                        feed_watch(stream, &food, beat);
+                    if watch_sender.send((message.line, chunk_sender)).is_ok() {
+                        serve_watch(stream, &chunks, heartbeat);
                     }
                 });
             }
@@ -296,19 +296,20 @@
 
     /// The next watch that the balancer has opened, if it has.
     pub fn next_watch(&self) -> Option<(String, Watch)> {
-        self.watches.try_recv().ok().map(|(line, feed)| (line, Watch(feed)))
+        self.watches.try_recv().ok().map(|(line, chunk_sender)| (line, Watch(chunk_sender)))
     }
 
     /// The next watch that the balancer opens.
     pub fn watch(&self) -> (String, Watch) {
-        let (line, feed) = self.watches.recv_timeout(LONG).expect("the balancer opens a watch");
-        (line, Watch(feed))
+        let (line, chunk_sender) =
+            self.watches.recv_timeout(HANG_TIMEOUT).expect("the balancer opens a watch");
+        (line, Watch(chunk_sender))
     }
 }
 
-fn feed_watch(mut stream: TcpStream, food: &Receiver<Option<Vec<u8>>>, beat: Duration) {
+fn serve_watch(mut stream: TcpStream, chunks: &Receiver<Option<Vec<u8>>>, heartbeat: Duration) {
     loop {
-        let bytes = match food.recv_timeout(beat) {
+        let bytes = match chunks.recv_timeout(heartbeat) {
             Ok(Some(bytes)) => bytes,
             Err(RecvTimeoutError::Timeout) => b"\n".to_vec(),
             // Ends with no last chunk, as when discovery goes down.
@@ -329,11 +330,11 @@
     }
 
     /// Says so much if the balancer still listens.
-    pub fn trickles(&self, bytes: &[u8]) {
+    pub fn send_if_open(&self, bytes: &[u8]) {
         let _ = self.0.send(Some(bytes.to_vec()));
     }
 
-    pub fn says(&self, index: u64, whole: bool, endpoints: &[Value]) {
+    pub fn send_update(&self, index: u64, whole: bool, endpoints: &[Value]) {
         let line = json!({"index": index, "snapshot": whole, "endpoints": endpoints});
         self.bytes(format!("{line}\n").as_bytes());
     }
@@ -345,15 +346,15 @@
 
 // --- The balancer ---
 
-/// The settings of the tests: three classes, answers wanted within `aim` seconds.
-pub fn settings(aim: f64) -> Value {
+/// The settings of the tests: three classes, answers wanted within `on_time_s` seconds.
+pub fn settings(on_time_s: f64) -> Value {
     json!({
         "balancers": 1, "me": 0, "tier": 0, "zone": "north", "zones": ["north"], "kinds": ["std"],
         "lanes": [
-            {"name": "read", "onTimeS": aim, "hardLimitS": 60.0, "effect": "idempotent"},
-            {"name": "pay", "onTimeS": aim, "hardLimitS": 60.0, "effect": "deduplicated",
+            {"name": "read", "onTimeS": on_time_s, "hardLimitS": 60.0, "effect": "idempotent"},
+            {"name": "pay", "onTimeS": on_time_s, "hardLimitS": 60.0, "effect": "deduplicated",
              "dedupScope": "cell", "windowS": 10.0},
-            {"name": "order", "onTimeS": aim, "hardLimitS": 60.0, "effect": "at_most_once"}],
+            {"name": "order", "onTimeS": on_time_s, "hardLimitS": 60.0, "effect": "at_most_once"}],
         "projects": [{"name": "acme"}], "overShareWorth": 0.1, "discovery": "subscribe",
         "caps": {"tryLimit": 3, "secondCopies": false, "cancel": true, "retryAfter": true,
                  "maxRetryAfterS": 1.5, "keepaliveS": 15.0, "multiplex": 1, "dialTimeoutS": 5.0},
@@ -362,10 +363,10 @@
 }
 
 /// The text of a configuration whose list in hand is `known`.
-pub fn configuration(discovery: SocketAddr, known: &[Value], aim: f64, sockets: usize) -> String {
+pub fn configuration(discovery: SocketAddr, known: &[Value], on_time_s: f64, sockets: usize) -> String {
     json!({"name": "n0", "listen": "127.0.0.1:0", "discovery": discovery.to_string(), "seed": "8c1f",
            "limits": {"sockets": sockets},
-           "known": {"index": 7, "snapshot": true, "endpoints": known}, "settings": settings(aim)})
+           "known": {"index": 7, "snapshot": true, "endpoints": known}, "settings": settings(on_time_s)})
     .to_string()
 }
 
@@ -374,7 +375,7 @@
     pub address: SocketAddr,
     stop: Option<oneshot::Sender<()>>,
     configuration: String,
-    replacing: UnboundedSender<Result<Config, ConfigError>>,
+    reload_sender: UnboundedSender<Result<Config, ConfigError>>,
     thread: Option<JoinHandle<()>>,
 }
 
@@ -384,31 +385,31 @@
         listener.set_nonblocking(true).expect("set");
         let address = listener.local_addr().expect("bound");
         let config = Config::parse(configuration, |_| None).expect("a sound configuration");
-        let (stop, stopped) = oneshot::channel();
-        let (replacing, replaced) = unbounded_channel();
+        let (stop, stop_requested) = oneshot::channel();
+        let (reload_sender, reloads) = unbounded_channel();
         let thread = thread::spawn(move || {
             let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("starts");
-            let served = tokio::task::LocalSet::new().block_on(&runtime, async {
+            let result = tokio::task::LocalSet::new().block_on(&runtime, async {
                 let listener = tokio::net::TcpListener::from_std(listener)?;
                 let stop = async {
-                    let _ = stopped.await;
+                    let _ = stop_requested.await;
                 };
-                server::serve_on(listener, config, replaced, stop).await
+                server::serve_on(listener, config, reloads, stop).await
             });
-            served.expect("serves");
+            result.expect("the balancer serves without an error");
         });
         let configuration = configuration.to_owned();
-        Self { address, stop: Some(stop), configuration, replacing, thread: Some(thread) }
+        Self { address, stop: Some(stop), configuration, reload_sender, thread: Some(thread) }
     }
 
-    /// With these upstreams, answers wanted within `aim` seconds, and a discovery that has nothing to add.
-    pub fn with(known: &[Value], aim: f64) -> (Self, Discovery) {
+    /// With these upstreams, answers wanted within `on_time_s` seconds, and a discovery that has nothing to add.
+    pub fn with(known: &[Value], on_time_s: f64) -> (Self, Discovery) {
         let discovery = Discovery::start();
-        (Self::start(&configuration(discovery.address, known, aim, 1024)), discovery)
+        (Self::start(&configuration(discovery.address, known, on_time_s, 1024)), discovery)
     }
 
     /// Returns once the balancer has taken in all that was sent to it before.
-    pub fn catches_up(&self) {
+    pub fn wait_until_caught_up(&self) {
         for _ in 0..3 {
             let mut client = self.client();
             client.raw(b"GET /_health HTTP/1.1\r\nHost: a\r\n\r\n");
@@ -429,7 +430,7 @@
 
     /// As after a reload of a configuration of this text.
     pub fn reload(&self, text: &str) {
-        self.replacing.send(Config::parse(text, |_| None)).expect("the balancer runs");
+        self.reload_sender.send(Config::parse(text, |_| None)).expect("the balancer runs");
     }
 
     pub fn stop(&mut self) {
@@ -441,8 +442,8 @@
     fn drop(&mut self) {
         self.stop.take();
         if let Some(thread) = self.thread.take() {
-            let ended = thread.join();
-            assert!(ended.is_ok() || thread::panicking(), "the balancer panicked");
+            let result = thread.join();
+            assert!(result.is_ok() || thread::panicking(), "the balancer panicked");
         }
     }
 }
@@ -451,12 +452,12 @@
 
 /// Starts the program with a configuration of this text.
 pub fn program(configuration: &str) -> Child {
-    program_within(1024, configuration)
+    program_with_descriptor_limit(1024, configuration)
 }
 
 /// Starts the program where descriptors really run out.
-pub fn program_within(descriptors: usize, configuration: &str) -> Child {
-    command_within(descriptors, &configuration_file(configuration)).spawn().expect("starts")
+pub fn program_with_descriptor_limit(descriptors: usize, configuration: &str) -> Child {
+    command_with_descriptor_limit(descriptors, &configuration_file(configuration)).spawn().expect("starts")
 }
 
 pub fn configuration_file(configuration: &str) -> PathBuf {
@@ -466,7 +467,7 @@
     file
 }
 
-pub fn command_within(descriptors: usize, file: &Path) -> Command {
+pub fn command_with_descriptor_limit(descriptors: usize, file: &Path) -> Command {
     let mut command = Command::new("/bin/sh");
     command
         .args(["-c", &format!("ulimit -n {descriptors}; exec \"$0\""), env!("CARGO_BIN_EXE_stilelead")])
@@ -491,32 +492,37 @@
 pub struct Client(pub TcpStream);
 
 /// Numbers the requests: no two have the same id.
-static NUMBER: AtomicUsize = AtomicUsize::new(1);
+static NEXT_REQUEST_NUMBER: AtomicUsize = AtomicUsize::new(1);
 
 impl Client {
     pub fn connect(address: SocketAddr) -> Self {
         let stream = TcpStream::connect(address).expect("accepted");
-        stream.set_read_timeout(Some(LONG)).expect("set");
+        stream.set_read_timeout(Some(HANG_TIMEOUT)).expect("set");
         Self(stream)
     }
 
     pub fn send(&mut self, class: &str, body: &str) {
-        self.send_for("acme", class, body);
+        self.send_for_tenant("acme", class, body);
     }
 
     /// With a request id of the test's choice.
-    pub fn send_as(&mut self, id: &str, class: &str, body: &str) {
-        self.send_whole(id, "acme", class, body);
+    pub fn send_with_id(&mut self, id: &str, class: &str, body: &str) {
+        self.send_request(id, "acme", class, body);
     }
 
     /// For a tenant of the test's choice.
-    pub fn send_for(&mut self, tenant: &str, class: &str, body: &str) {
-        self.send_whole(&format!("r-{}", NUMBER.fetch_add(1, Ordering::Relaxed)), tenant, class, body);
+    pub fn send_for_tenant(&mut self, tenant: &str, class: &str, body: &str) {
+        self.send_request(
+            &format!("r-{}", NEXT_REQUEST_NUMBER.fetch_add(1, Ordering::Relaxed)),
+            tenant,
+            class,
+            body,
+        );
     }
 
     /// For a client that waits so many seconds.
-    pub fn send_within(&mut self, seconds: f64, class: &str) {
-        let id = format!("r-{}", NUMBER.fetch_add(1, Ordering::Relaxed));
+    pub fn send_with_deadline(&mut self, seconds: f64, class: &str) {
+        let id = format!("r-{}", NEXT_REQUEST_NUMBER.fetch_add(1, Ordering::Relaxed));
         self.raw(
             format!(
                 "GET /{class} HTTP/1.1\r\nHost: origin.svc\r\nX-Request-Id: {id}\r\nX-Tenant: acme\r\n\
@@ -526,7 +532,7 @@
         );
     }
 
-    fn send_whole(&mut self, id: &str, tenant: &str, class: &str, body: &str) {
+    fn send_request(&mut self, id: &str, tenant: &str, class: &str, body: &str) {
         let (method, key) = if class == "read" { ("GET", "") } else { ("POST", "Idempotency-Key: k-1\r\n") };
         let text = format!(
             "{method} /{class}?k=7f HTTP/1.1\r\nHost: origin.svc\r\nX-Request-Id: {id}\r\nX-Tenant: {tenant}\r\n\
--- a/proxy/tests/discovery.rs
+++ b/proxy/tests/discovery.rs
@@ -18,7 +18,7 @@
         // The drain applies even though its entry has no readable address.
         let mut draining_entry = endpoint("s-1", old.address, 0, status);
         draining_entry["address"] = "".into();
-        watch.says(8, false, &[draining_entry, endpoint("s-2", new.address, 1, "ready")]);
+        watch.send_update(8, false, &[draining_entry, endpoint("s-2", new.address, 1, "ready")]);
         old.wait_closed(1);
         for _ in 0..5 {
             assert_eq!(client.ask("order", "two").body, b"new");
@@ -58,7 +58,7 @@
     let upstream = Upstream::start(|_, _| ok("served"));
     let (balancer, discovery) = Balancer::with(&[endpoint("s-1", upstream.address, 0, "ready")], 30.0);
     let (_, watch) = discovery.watch();
-    watch.says(11, false, &[]);
+    watch.send_update(11, false, &[]);
     watch.end();
     let (line, watch) = discovery.watch();
     assert_eq!(line, "GET /catalog/members?follow=1&since=11 HTTP/1.1");
@@ -73,10 +73,10 @@
 /// delivered even if no message has arrived, so that a new watch is needed.
 #[test]
 fn a_silent_watch_is_replaced() {
-    let discovery = Discovery::beating(LONG);
+    let discovery = Discovery::with_heartbeat(HANG_TIMEOUT);
     let _balancer = Balancer::start(&configuration(discovery.address, &[], 30.0, 1024));
     let (_, watch) = discovery.watch();
-    watch.says(9, true, &[]);
+    watch.send_update(9, true, &[]);
     let (line, _watch) = discovery.watch();
     assert_eq!(line, "GET /catalog/members?follow=1&since=9 HTTP/1.1");
 }
@@ -89,7 +89,7 @@
     let mut client = balancer.client();
     assert_eq!(client.ask("order", "one").body, b"old");
     let (_, watch) = discovery.watch();
-    watch.says(8, false, &[endpoint("s-1", new.address, 0, "ready")]);
+    watch.send_update(8, false, &[endpoint("s-1", new.address, 0, "ready")]);
     old.wait_closed(1);
     assert_eq!(client.ask("order", "two").body, b"new");
 }
@@ -114,13 +114,13 @@
         let (line, watch) = discovery.watch();
         assert_eq!(line, "GET /catalog/members?follow=1&since=0 HTTP/1.1");
         watch.bytes(b"\n");
-        watch.says(8, true, std::slice::from_ref(&draining));
-        watch.says(9, true, &[]);
+        watch.send_update(8, true, std::slice::from_ref(&draining));
+        watch.send_update(9, true, &[]);
         watch.end();
         let (line, watch) = discovery.watch();
         assert_eq!(line, "GET /catalog/members?follow=1&since=9 HTTP/1.1");
         assert_eq!(health_status(&balancer), 503, "no upstream is ready");
-        watch.says(10, false, &[endpoint("s-1", upstream.address, 0, "ready")]);
+        watch.send_update(10, false, &[endpoint("s-1", upstream.address, 0, "ready")]);
         wait_for("the balancer can serve", || (health_status(&balancer) == 200).then_some(()));
         assert_eq!(balancer.client().ask("read", "").status(), 200);
     }
@@ -163,16 +163,16 @@
     let known = [endpoint("s-1", one.address, 0, "ready"), endpoint("s-2", two.address, 1, "ready")];
     let (balancer, old) = Balancer::with(&known, 30.0);
     let (_, old_watch) = old.watch();
-    old_watch.says(8, false, &[endpoint("s-2", two.address, 1, "draining")]);
+    old_watch.send_update(8, false, &[endpoint("s-2", two.address, 1, "draining")]);
     let mut client = balancer.client();
     wait_for("version 8 is applied", || {
         (0..8).all(|_| client.ask("order", "x").body == b"one").then_some(())
     });
-    let new = Discovery::beating(LONG);
+    let new = Discovery::with_heartbeat(HANG_TIMEOUT);
     balancer.move_discovery(&new);
     let (line, new_watch) = new.watch();
     assert_eq!(line, "GET /catalog/members?follow=1&since=8 HTTP/1.1");
-    old_watch.says(
+    old_watch.send_update(
         9,
         false,
         &[endpoint("s-1", one.address, 0, "draining"), endpoint("s-2", two.address, 1, "ready")],
@@ -180,7 +180,7 @@
     wait_for("the update of the old watch is applied", || {
         (0..8).all(|_| client.ask("order", "x").body == b"two").then_some(())
     });
-    new_watch.says(
+    new_watch.send_update(
         10,
         false,
         &[endpoint("s-1", one.address, 0, "ready"), endpoint("s-2", two.address, 1, "gone")],
@@ -189,7 +189,7 @@
         (client.ask("order", "x").body == b"one").then_some(())
     });
     // Updates of the old watch no longer count.
-    old_watch.says(
+    old_watch.send_update(
         11,
         false,
         &[endpoint("s-1", one.address, 0, "gone"), endpoint("s-2", two.address, 1, "gone")],
@@ -215,7 +215,7 @@
     let (line, watch) = discovery.watch();
     assert_eq!(line, "GET /catalog/members?follow=1&since=7 HTTP/1.1");
     let draining_entry = endpoint("s-1", old.address, 0, "draining");
-    watch.says(8, false, &[draining_entry, endpoint("s-2", new.address, 1, "ready")]);
+    watch.send_update(8, false, &[draining_entry, endpoint("s-2", new.address, 1, "ready")]);
     old.wait_closed(1);
     assert_eq!(client.ask("order", "two").body, b"new");
 }
@@ -253,13 +253,13 @@
 #[test]
 fn bytes_without_a_complete_message_count_as_silence() {
     for start in ["", "\n", "\n{\"index\": 8, \"endpoints\": ["] {
-        let discovery = Discovery::beating(LONG);
+        let discovery = Discovery::with_heartbeat(HANG_TIMEOUT);
         let _balancer = Balancer::start(&configuration(discovery.address, &[], 30.0, 1024));
         let (_, watch) = discovery.watch();
         watch.bytes(start.as_bytes());
         let mut next_watch = None;
         wait_for("a new watch", || {
-            watch.trickles(b" ");
+            watch.send_if_open(b" ");
             next_watch = discovery.next_watch();
             next_watch.is_some().then_some(())
         });
@@ -275,15 +275,15 @@
     let upstream = Upstream::start(|_, _| ok("served"));
     let (balancer, old) = Balancer::with(&[], 30.0);
     let (_, old_watch) = old.watch();
-    old_watch.says(8, false, &[]);
-    let new = Discovery::beating(LONG);
+    old_watch.send_update(8, false, &[]);
+    let new = Discovery::with_heartbeat(HANG_TIMEOUT);
     let mut client = balancer.client();
-    old_watch.says(9, false, &[endpoint("s-1", upstream.address, 0, "ready")]);
+    old_watch.send_update(9, false, &[endpoint("s-1", upstream.address, 0, "ready")]);
     wait_for("version 9 is applied", || (client.ask("read", "").status() == 200).then_some(()));
     balancer.move_discovery(&new);
     let (line, new_watch) = new.watch();
     assert_eq!(line, "GET /catalog/members?follow=1&since=9 HTTP/1.1");
-    old_watch.says(100, false, &[endpoint("s-1", upstream.address, 0, "draining")]);
+    old_watch.send_update(100, false, &[endpoint("s-1", upstream.address, 0, "draining")]);
     wait_for("the update of the old watch is applied", || {
         (client.ask("read", "").status() != 200).then_some(())
     });
--- a/proxy/tests/floods.rs
+++ b/proxy/tests/floods.rs
@@ -19,7 +19,7 @@
 /// Guards memory against bodies in pieces of a byte: kept as they came, each piece costs a hundred times its size.
 /// Both ways, at many connections at once.
 #[test]
-fn bodies_in_tiny_pieces_hold_little_memory() {
+fn bodies_in_tiny_chunks_use_little_memory() {
     let pieces = b"1\r\na\r\n".repeat(60_000);
     let shared = pieces.clone();
     let upstream = Upstream::start(move |_, message| {
@@ -68,7 +68,7 @@
 /// Guards memory, descriptors and the others against clients that send much at once and go, and against many that leave
 /// in one moment with their requests out: what they held is free again, and their attempts are over.
 #[test]
-fn clients_that_send_much_and_go_leave_nothing_behind() {
+fn flooding_clients_that_disconnect_free_their_resources() {
     let upstream =
         Upstream::start(|_, message| if message.body == b"held" { Reply::Silence } else { ok("served") });
     let discovery = Discovery::start();
@@ -113,7 +113,7 @@
 /// Guards proper clients and the peers themselves where many send no proper request, all at a time: each gets an error or
 /// a close long before this test is impatient, and a proper client is served among them.
 #[test]
-fn many_malformed_peers_get_their_end_beside_others() {
+fn many_malformed_clients_are_disconnected_while_others_are_served() {
     let upstream = Upstream::start(|_, _| ok("served"));
     let discovery = Discovery::start();
     let known = [endpoint("s-1", upstream.address, 0, "ready")];
@@ -155,19 +155,20 @@
 /// Guards drains and clients where idle clients fill the descriptors while discovery is down: who is active is served all
 /// the time, and once discovery is back the watch is opened and heard, though the idle keep coming.
 #[test]
-fn idle_clients_keep_neither_the_watch_nor_others_from_their_descriptors() {
+fn idle_clients_do_not_starve_the_watch_or_active_clients_of_descriptors() {
     let (old, new) = (Upstream::start(|_, _| ok("old")), Upstream::start(|_, _| ok("new")));
     // Bound and not yet listening, it refuses.
     let down = Socket::new(Domain::IPV4, Type::STREAM, None).expect("a socket");
     down.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into()).expect("a free port");
     let address_of_discovery = down.local_addr().expect("bound").as_socket().expect("IPv4");
     let known = [endpoint("s-1", old.address, 0, "ready")];
-    let mut program = program_within(64, &configuration(address_of_discovery, &known, 30.0, 64));
+    let mut program =
+        program_with_descriptor_limit(64, &configuration(address_of_discovery, &known, 30.0, 64));
     let (address, _log) = address(&mut program);
     let mut idle = std::collections::VecDeque::new();
     // Brings as many idle clients as there are descriptors, every other one after a request, and tells who serves an
     // active one then. A connection may be shut unread, and its client comes again.
-    let mut crowded = || {
+    let mut add_idle_clients_and_probe = || {
         for number in 0..64 {
             let mut client = Client::connect(address);
             if number % 2 == 0 {
@@ -187,19 +188,19 @@
         answer.body
     };
     for _ in 0..10 {
-        assert_eq!(crowded(), b"old");
+        assert_eq!(add_idle_clients_and_probe(), b"old");
     }
     down.listen(8).expect("bound");
     let discovery = Discovery::on(down.into(), Duration::from_millis(500));
     let (line, watch) = wait_for("the watch", || {
-        crowded();
+        add_idle_clients_and_probe();
         discovery.next_watch()
     });
     assert_eq!(line, "GET /catalog/members?follow=1&since=7 HTTP/1.1");
     let drained = endpoint("s-1", old.address, 0, "draining");
-    watch.says(8, false, &[drained, endpoint("s-2", new.address, 0, "ready")]);
-    wait_for("the list is heard", || (crowded() == b"new").then_some(()));
-    assert_eq!(crowded(), b"new");
+    watch.send_update(8, false, &[drained, endpoint("s-2", new.address, 0, "ready")]);
+    wait_for("the list is heard", || (add_idle_clients_and_probe() == b"new").then_some(()));
+    assert_eq!(add_idle_clients_and_probe(), b"new");
     program.kill().expect("it runs");
     program.wait().expect("ends");
 }
--- a/proxy/tests/reload.rs
+++ b/proxy/tests/reload.rs
@@ -75,7 +75,7 @@
 impl Program {
     fn start(configuration: &str) -> Self {
         let file = configuration_file(configuration);
-        let mut child = command_within(1024, &file).spawn().expect("starts");
+        let mut child = command_with_descriptor_limit(1024, &file).spawn().expect("starts");
         let (address, log) = address(&mut child);
         Self { child, address, log, file }
     }
@@ -124,7 +124,7 @@
     assert_eq!(line, "stilelead: configuration applied: 1 class added, 1 tenant added");
     let mut client = Client::connect(program.address);
     assert_eq!(client.ask("extra", "").status(), 200);
-    client.send_for("zenith", "order", "");
+    client.send_for_tenant("zenith", "order", "");
     assert_eq!(client.answer().expect("an answer").status(), 200);
     gate.open();
     assert_eq!(held_client.answer().expect("an answer").status(), 200);
@@ -146,10 +146,10 @@
     balancer.reload(&new.to_string());
     let mut client = balancer.client();
     wait_for("the tenant is no longer accepted", || (client.ask("read", "").status() == 400).then_some(()));
-    client.send_for("zenith", "order", "");
+    client.send_for_tenant("zenith", "order", "");
     let refused = client.answer().expect("an answer");
     assert_eq!(refused.status(), 400);
-    client.send_for("zenith", "read", "");
+    client.send_for_tenant("zenith", "read", "");
     assert_eq!(client.answer().expect("an answer").status(), 200);
     gate.open();
     assert_eq!(held_client.answer().expect("an answer").status(), 200);
@@ -247,12 +247,12 @@
     let mut members =
         vec![endpoint("s-1", near.address, 0, "ready"), endpoint("s-2", far.address, 0, "ready")];
     members[1]["zone"] = json!("west");
-    let discovery = Discovery::beating(LONG);
+    let discovery = Discovery::with_heartbeat(HANG_TIMEOUT);
     let mut text = parse_json(&configuration(discovery.address, &members, 30.0, 1024));
     text["settings"]["tier"] = json!(1);
     let balancer = Balancer::start(&text.to_string());
     let (_, old_watch) = discovery.watch();
-    old_watch.says(8, false, &[]);
+    old_watch.send_update(8, false, &[]);
     let mut client = balancer.client();
     let all_from = |client: &mut Client, body: &str| {
         (0..200).all(|_| client.ask("order", "").body == body.as_bytes()).then_some(())
@@ -263,12 +263,12 @@
     balancer.reload(&text.to_string());
     let (line, new_watch) = discovery.watch();
     assert_eq!(line, "GET /catalog/members?follow=1&since=0 HTTP/1.1");
-    old_watch.says(9, false, &[endpoint("s-1", near.address, 0, "draining")]);
+    old_watch.send_update(9, false, &[endpoint("s-1", near.address, 0, "draining")]);
     wait_for("the update of the old watch is applied", || all_from(&mut client, "far"));
     let third = Upstream::start(|_, _| ok("third"));
     members.push(endpoint("s-3", third.address, 0, "ready"));
     members[2]["zone"] = json!("west");
-    new_watch.says(10, true, &members);
+    new_watch.send_update(10, true, &members);
     wait_for("the full list is applied", || (client.ask("order", "").body == b"third").then_some(()));
     // The balancer may send single calls to the other zone when upstreams seem slow, so the test waits for one series of
     // 200 calls that all stay in the zone. If the upstream still counted as one of three in the balancer's own zone, there
@@ -292,13 +292,13 @@
     client.raw(
         b"POST /order HTTP/1.1\r\nHost: a\r\nX-Request-Id: r-split\r\nX-Tenant: acme\r\nContent-Length: 4\r\n\r\nha",
     );
-    balancer.catches_up();
+    balancer.wait_until_caught_up();
     let mut new = parse_json(&configuration(discovery.address, &gate.known(), 30.0, 1024));
     new["settings"]["lanes"][2]["effect"] = json!("deduplicated");
     new["settings"]["lanes"][2]["dedupScope"] = json!("all");
     new["settings"]["lanes"][2]["windowS"] = json!(10.0);
     balancer.reload(&new.to_string());
-    balancer.catches_up();
+    balancer.wait_until_caught_up();
     client.raw(b"lf");
     assert_eq!(client.answer().expect("an answer").status(), 400);
     assert_eq!(gate.upstream.requests().len(), 0);
@@ -320,7 +320,7 @@
     };
     let mut balancer = Balancer::start(&with_deadline(&mut text, 0.1));
     balancer.reload(&with_deadline(&mut text, 60.0));
-    balancer.catches_up();
+    balancer.wait_until_caught_up();
     let mut held_client = gate.hold(balancer.address, "order");
     balancer.stop();
     std::thread::sleep(Duration::from_millis(1200));
--- a/proxy/tests/stale_list.rs
+++ b/proxy/tests/stale_list.rs
@@ -107,7 +107,7 @@
     let mut child = program(&configuration(front_address, &known, 30.0, 1024));
     let (address, _log) = common::address(&mut child);
     let (_, watch) = discovery.watch();
-    watch.says(8, true, &known);
+    watch.send_update(8, true, &known);
     let mut client = Client::connect(address);
     assert_eq!(client.ask("read", "").status(), 200);
     // The connection of the watch is closed; the next call is accepted but not answered yet.
--- a/proxy/tests/tenants.rs
+++ b/proxy/tests/tenants.rs
@@ -10,7 +10,7 @@
 use serde_json::{Value, json};
 
 /// Takes so long that the machine's own delays are no congestion.
-fn calm(_: usize, _: &Message) -> Reply {
+fn serve_slowly(_: usize, _: &Message) -> Reply {
     std::thread::sleep(Duration::from_millis(40));
     ok("served")
 }
@@ -38,12 +38,12 @@
 /// Guards what tenants may count on: with half of the upstreams gone and no congestion on the others, a tenant is not
 /// held to half of its quota.
 #[test]
-fn what_is_left_serves_more_than_its_part() {
+fn remaining_upstreams_serve_more_than_their_share_of_a_quota() {
     let quotas = json!({"projects": [{"name": "acme", "quotaPerS": 20.0}]});
-    let (upstreams, balancer, discovery) = with_quotas(calm, &quotas);
+    let (upstreams, balancer, discovery) = with_quotas(serve_slowly, &quotas);
     let listed = |number: usize| endpoint(&format!("s-{number}"), upstreams[number].address, 0, "gone");
     let (_, watch) = discovery.watch();
-    watch.says(8, false, &[listed(0), listed(1)]);
+    watch.send_update(8, false, &[listed(0), listed(1)]);
     // Nothing shows when it has taken effect; if it had not, nothing would be held back either.
     std::thread::sleep(Duration::from_millis(600));
     let mut client = balancer.client();
@@ -55,12 +55,12 @@
 /// Guards a tenant whose clients ask again as soon as they are refused: once congestion has cut its limit, the storm
 /// must not keep it from all that it may have, nor its limit from coming back.
 #[test]
-fn a_storm_of_refused_calls_locks_no_tenant_out() {
+fn a_retry_storm_does_not_lock_a_tenant_out() {
     let full = Arc::new(AtomicBool::new(true));
     let seen = Arc::clone(&full);
     let script = move |number: usize, message: &Message| match seen.load(Ordering::Relaxed) {
         true => status("503 Service Unavailable\r\nX-Not-Run: 1"),
-        false => calm(number, message),
+        false => serve_slowly(number, message),
     };
     let projects = json!([{"name": "acme", "quotaPerS": 4.0}, {"name": "bolt", "quotaPerS": 4.0}]);
     let (_upstreams, balancer, _discovery) = with_quotas(script, &json!({"projects": projects}));
@@ -69,7 +69,7 @@
     let mut round = || {
         let next = Instant::now() + Duration::from_millis(100);
         for (number, client) in clients.iter_mut().enumerate() {
-            client.send_for(if number == 0 { "bolt" } else { "acme" }, "read", "x");
+            client.send_for_tenant(if number == 0 { "bolt" } else { "acme" }, "read", "x");
         }
         let mut served = false;
         for (number, client) in clients.iter_mut().enumerate() {
