--- a/proxy/tests/attempts.rs
+++ b/proxy/tests/attempts.rs
@@ -1,4 +1,4 @@
-//! What becomes of attempts: outcomes, connections, and the final answer that follows from them.
+//! Attempts at upstreams: their outcomes, their connections, and the answer that the client gets in the end.
 
 mod common;
 
@@ -8,7 +8,8 @@
 use common::*;
 use socket2::{Domain, Socket, Type};
 
-/// Guards what passes through: path, body and ids unchanged, and the same connection for the next request.
+/// Guards against a request or answer altered on its way: path, body and ids pass unchanged, and the
+/// connection to the upstream is reused for the next request.
 #[test]
 fn an_answer_passes_through_and_the_connection_is_kept() {
     let upstream = Upstream::start(|number, _| ok(&format!("quote {number}")));
@@ -22,18 +23,19 @@
     let requests = upstream.requests();
     assert_eq!(requests.len(), 3);
     for (number, (connection, request)) in requests.into_iter().enumerate() {
-        assert_eq!(connection, 1, "a kept connection is used again");
+        assert_eq!(connection, 1, "the idle connection must be reused");
         assert_eq!(request.line, "POST /pay?k=7f HTTP/1.1");
         assert_eq!(request.body, b"instalments");
         assert_eq!(request.header("x-request-id"), Some(format!("id-{number}").as_str()));
         assert_eq!(request.header("idempotency-key"), Some("k-1"));
-        let deadline: f64 = request.header("x-deadline").and_then(|text| text.parse().ok()).expect("a time");
+        let deadline: f64 =
+            request.header("x-deadline").and_then(|text| text.parse().ok()).expect("a number of seconds");
         assert!(deadline > 0.0 && deadline <= 30.0, "{deadline}");
     }
 }
 
-/// Guards against an upstream's own 503 reaching the client: it may have run, and a refusal would say that it
-/// did not.
+/// Guards against passing an upstream's own 503 to the client: the request may have run there, while a 503
+/// from the balancer states that it did not.
 #[test]
 fn a_503_without_x_not_run_is_a_failed_attempt() {
     for line in
@@ -43,16 +45,16 @@
         let (balancer, _discovery) = Balancer::with(&[endpoint("s-1", upstream.address, 0, "ready")], 30.0);
         let answer = balancer.client().ask("order", "one");
         assert_eq!(answer.status(), 502, "{line}");
-        assert_eq!(upstream.requests().len(), 1, "an unsafe request that may have run went out again");
+        assert_eq!(upstream.requests().len(), 1, "an unsafe request that may have run was sent again");
     }
 }
 
-/// Guards what the mark allows: another attempt for an unsafe request, and a refusal when none is left, at
-/// once and with the advice to stay away.
+/// A 503 with `X-Not-Run: 1` proves that the request did not run: even an unsafe request is then retried on
+/// another upstream. When none is left, the client gets a 503 at once, with a Retry-After header.
 #[test]
 fn a_503_with_x_not_run_is_retried_elsewhere_then_refused() {
-    let full = || Upstream::start(|_, _| status("503 Full\r\nX-Not-Run: 1"));
-    let (first, second) = (full(), full());
+    let refusing = || Upstream::start(|_, _| status("503 Full\r\nX-Not-Run: 1"));
+    let (first, second) = (refusing(), refusing());
     let known = [endpoint("s-1", first.address, 0, "ready"), endpoint("s-2", second.address, 1, "ready")];
     let (balancer, _discovery) = Balancer::with(&known, 30.0);
     let answer = balancer.client().ask("order", "one");
@@ -61,7 +63,8 @@
     assert_eq!((first.requests().len(), second.requests().len()), (1, 1));
 }
 
-/// Guards the other proof that nothing ran: nobody listens there.
+/// A refused connection also proves that the request did not run, as nobody listens at the address: it is
+/// retried like a 503 with `X-Not-Run: 1`.
 #[test]
 fn a_refused_connection_is_retried_elsewhere_then_refused() {
     let upstream = Upstream::start(|_, _| ok("served"));
@@ -70,12 +73,13 @@
     for _ in 0..4 {
         assert_eq!(balancer.client().ask("order", "one").status(), 200);
     }
-    let (alone, _discovery) = Balancer::with(&[endpoint("s-1", dead_address(), 0, "ready")], 30.0);
-    assert_eq!(alone.client().ask("order", "one").status(), 503);
+    let (balancer_of_dead_upstream, _discovery) =
+        Balancer::with(&[endpoint("s-1", dead_address(), 0, "ready")], 30.0);
+    assert_eq!(balancer_of_dead_upstream.client().ask("order", "one").status(), 503);
 }
 
-/// Guards against a resend that nobody decided on, and against a refusal for what may have run: once the last
-/// byte is out, a break is a reset, whatever part of an answer came before it.
+/// Guards against an unintended resend, and against a 503 for a request that may have run: once its last byte
+/// has been sent, a broken connection counts as a reset, whatever part of an answer arrived before.
 #[test]
 fn an_unsafe_request_is_not_retried_once_it_was_sent_whole() {
     for part in [
@@ -83,10 +87,10 @@
         "HTTP/1.1 200 OK\r\nContent-Le",
         "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nab",
         "\0\r\ngarbage\r\n\r\n",
-        // Refused unseen, had it come whole.
+        // Would prove that the request did not run if it were complete.
         "HTTP/1.1 503 Full\r\nX-Not-Run: 1\r\nContent-Length: 5\r\n\r\nab",
         "HTTP/1.1 503 Full\r\nX-Not-Run: 1\r\nContent-Length: x\r\n\r\n",
-        // Nothing says that these are whole.
+        // The framing does not tell where these answers end.
         "HTTP/1.1 200 OK\r\nTransfer-Encoding: gzip\r\n\r\nabcde",
         "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\nTransfer-Encoding: gzip\r\n\r\nabcde",
         "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked, gzip\r\n\r\nabcde",
@@ -107,8 +111,8 @@
     }
 }
 
-/// Guards answers without a length: one whose connection ends in order is whole, whatever its version. Its connection is
-/// not used again.
+/// An answer without a length is complete when its connection is closed in order, whatever its HTTP version.
+/// The connection is not reused.
 #[test]
 fn an_answer_without_a_length_ends_with_its_connection() {
     let long = "x".repeat(64 * 1024);
@@ -134,10 +138,11 @@
     }
 }
 
-/// Guards what such an answer says of its request: the same as one with a length.
+/// Guards against treating an answer without a length unlike one with a length: its status decides alike
+/// whether the request may be retried.
 #[test]
 fn an_answer_without_a_length_is_classified_by_its_status() {
-    for (head, status, tried) in [
+    for (head, status, expected_attempts) in [
         ("HTTP/1.1 503 Full\r\nX-Not-Run: 1\r\n\r\n", 503, 2),
         ("HTTP/1.1 503 Full\r\n\r\n", 502, 1),
         ("HTTP/1.1 500 Oops\r\n\r\n", 502, 1),
@@ -149,12 +154,12 @@
         let known = [endpoint("s-1", first.address, 0, "ready"), endpoint("s-2", second.address, 0, "ready")];
         let (balancer, _discovery) = Balancer::with(&known, 30.0);
         assert_eq!(balancer.client().ask("order", "one").status(), status, "{head:?}");
-        assert_eq!(first.requests().len() + second.requests().len(), tried, "{head:?}");
+        assert_eq!(first.requests().len() + second.requests().len(), expected_attempts, "{head:?}");
     }
 }
 
-/// Guards memory and time against answers without a length that have no end, or are past the limit: the first is given
-/// up with its time, the second at once, though its connection stays open.
+/// Guards memory and time against answers without a length that never end or exceed the size limit: the first
+/// is abandoned when its time is over, the second at once, though its connection stays open.
 #[test]
 fn an_answer_without_a_length_is_limited_in_time_and_size() {
     for (body, aim) in [(3, 0.3), (64 * 1024 + 1, 59.0)] {
@@ -167,8 +172,9 @@
     }
 }
 
-/// Guards clients against a part of an answer: one that is reset on the way is not whole, though it has no length and
-/// so might end anywhere. It may have run: what must not run twice is failed, what may is sent elsewhere.
+/// Guards clients against a truncated answer: an answer that is cut off by a reset is incomplete, although
+/// one without a length could end at any byte. The request may have run: an unsafe one fails, an idempotent
+/// one is retried on another upstream.
 #[test]
 fn a_reset_does_not_complete_an_answer() {
     let long = format!("HTTP/1.1 200 OK\r\n\r\n{}", "x".repeat(60 * 1024));
@@ -178,26 +184,30 @@
         &long,
         "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nabcde",
         "HTTP/1.0 200 OK\r\n\r\nabcde",
-        // Proof that it never ran only if it is whole.
+        // Proves that the request did not run only if it is complete.
         "HTTP/1.1 503 Full\r\nX-Not-Run: 1\r\n\r\nabcde",
         "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nabcde\r\n",
         "HTTP/1.1 200 OK\r\nContent-Length: 6\r\n\r\nabcde",
     ];
     let try_reset = &|part: &str, when_read: bool| {
-        let cut = || {
+        let reset_upstream = || {
             let part = part.to_owned();
             Upstream::start(move |_, _| Reply::Reset(part.clone().into_bytes(), when_read))
         };
-        let (first, second) = (cut(), cut());
+        let (first, second) = (reset_upstream(), reset_upstream());
         let known = [endpoint("s-1", first.address, 0, "ready"), endpoint("s-2", second.address, 0, "ready")];
         let (balancer, _discovery) = Balancer::with(&known, 30.0);
         let seen = || first.requests().len() + second.requests().len();
         assert_eq!(balancer.client().ask("order", "one").status(), 502, "{part:.80?}");
         assert_eq!(seen(), 1, "{part:.80?}: it was sent again");
         let refused = balancer.client().ask("read", "");
-        assert_eq!((refused.status(), seen()), (503, 3), "{part:.80?}: it may be repeated");
+        assert_eq!(
+            (refused.status(), seen()),
+            (503, 3),
+            "{part:.80?}: an idempotent request must be retried"
+        );
     };
-    // Side by side, as each balancer takes seconds to drain.
+    // In parallel, as each balancer takes seconds to drain.
     std::thread::scope(|scope| {
         for when_read in [false, true] {
             for part in parts {
@@ -207,29 +217,31 @@
     });
 }
 
-/// Guards the same where the reset comes while the request is still being written, whose side may hear of it first: it
-/// is failed, or refused as one that was never written whole.
+/// Guards against the same truncated answer where the reset arrives while the request is still being written,
+/// so that the writing side may notice it first: the client gets 502, or 503 as the request was never written
+/// whole.
 #[test]
 fn a_reset_while_the_request_is_written_does_not_complete_its_answer() {
-    let socket = Socket::new(Domain::IPV4, Type::STREAM, None).expect("a socket");
-    socket.set_recv_buffer_size(4096).expect("set");
-    socket.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into()).expect("a free port");
-    socket.listen(8).expect("bound");
+    let socket = Socket::new(Domain::IPV4, Type::STREAM, None).expect("create a socket");
+    socket.set_recv_buffer_size(4096).expect("set the socket option");
+    socket.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into()).expect("bind to a free port");
+    socket.listen(8).expect("a bound socket");
     let listener = TcpListener::from(socket);
-    let address = listener.local_addr().expect("bound");
+    let address = listener.local_addr().expect("a bound socket");
     let upstream = std::thread::spawn(move || {
-        let mut stream = listener.accept().expect("the balancer comes").0;
-        stream.read_exact(&mut [0; 64]).expect("a request begins");
-        stream.write_all(b"HTTP/1.1 200 OK\r\n\r\nabcde").expect("open");
+        let mut stream = listener.accept().expect("the balancer connects").0;
+        stream.read_exact(&mut [0; 64]).expect("the balancer writes a request");
+        stream.write_all(b"HTTP/1.1 200 OK\r\n\r\nabcde").expect("the connection is open");
         reset(stream);
     });
     let (balancer, _discovery) = Balancer::with(&[endpoint("s-1", address, 0, "ready")], 30.0);
     let status = balancer.client().ask("order", &"x".repeat(64 * 1024)).status();
     assert!(status == 502 || status == 503, "{status}");
-    upstream.join().expect("no panic");
+    upstream.join().expect("no thread panicked");
 }
 
-/// Guards the group of a keyed request: what may have run is repeated only where repeats are dropped.
+/// Guards against a duplicate of a deduplicated request: one that may have run is retried only within the
+/// group of upstreams that drops duplicates.
 #[test]
 fn a_keyed_request_is_retried_within_its_cell_only() {
     let failing = || Upstream::start(|_, _| Reply::BytesThenClose(Vec::new()));
@@ -245,7 +257,8 @@
     assert!(seen == [2, 0] || seen == [0, 1], "{seen:?}");
 }
 
-/// Guards against a late answer on a connection used again: a time-out closes it.
+/// Guards against a late answer being read as the answer to the next request on the connection: a time-out
+/// closes the connection.
 #[test]
 fn a_time_out_closes_its_connection() {
     let upstream = Upstream::start(|number, _| if number == 0 { Reply::Silence } else { ok("late") });
@@ -256,7 +269,7 @@
     assert_eq!(upstream.requests().len(), 1);
 }
 
-/// Guards against a client's short patience being taken for the class's long one.
+/// Guards against waiting for the long deadline of the class when the client has set a shorter one.
 #[test]
 fn the_client_is_answered_by_its_own_deadline() {
     let upstream = Upstream::start(|_, _| Reply::Silence);
@@ -265,12 +278,12 @@
     client.raw(
         b"GET /read HTTP/1.1\r\nHost: a\r\nX-Request-Id: r\r\nX-Tenant: acme\r\nX-Deadline: 0.2\r\n\r\n",
     );
-    let status = client.answer().expect("an answer long before the class's deadline").status();
+    let status = client.answer().expect("an answer long before the deadline of the class").status();
     assert!(status == 502 || status == 503, "{status}");
     upstream.wait_closed(1);
 }
 
-/// Guards against work for nobody: a client that leaves takes its attempt along.
+/// Guards against wasted work: when a client disconnects, its attempt is cancelled.
 #[test]
 fn a_client_that_disconnects_cancels_its_attempt() {
     let upstream = Upstream::start(|_, _| Reply::Silence);
@@ -278,21 +291,21 @@
     let mut client = balancer.client();
     client.send("order", "one");
     upstream.wait_requests(1);
-    client.0.shutdown(Shutdown::Both).expect("closed");
+    client.0.shutdown(Shutdown::Both).expect("shut down the connection");
     upstream.wait_closed(1);
     assert_eq!(upstream.requests().len(), 1);
 }
 
-/// Guards the same where a client's connection is reset, before the request's attempt is out or after, with nothing or
-/// with bytes behind the request.
+/// Guards against wasted work where a client's connection is reset, before its attempt was sent or after,
+/// with or without bytes behind the request.
 #[test]
 fn a_reset_client_connection_cancels_its_attempt() {
-    for behind in ["", "GET /re"] {
+    for trailing_bytes in ["", "GET /re"] {
         let upstream = Upstream::start(|_, _| Reply::Silence);
         let (balancer, _discovery) = Balancer::with(&[endpoint("s-1", upstream.address, 0, "ready")], 50.0);
         let mut client = balancer.client();
         client.send_with_id("mine", "order", "one");
-        client.raw(behind.as_bytes());
+        client.raw(trailing_bytes.as_bytes());
         upstream.wait_requests(1);
         reset(client.0);
         upstream.wait_closed(1);
@@ -300,29 +313,29 @@
     }
     let (listener, filling) = full_listener();
     let (balancer, _discovery) =
-        Balancer::with(&[endpoint("s-1", listener.local_addr().expect("bound"), 0, "ready")], 50.0);
+        Balancer::with(&[endpoint("s-1", listener.local_addr().expect("a bound socket"), 0, "ready")], 50.0);
     let mut client = balancer.client();
     client.send_with_id("mine", "order", "left");
     balancer.wait_until_caught_up();
     reset(client.0);
-    // Its id is free again once the balancer has seen it.
-    let mut stays = wait_for("the id is free", || {
+    // The request id can be used again once the balancer has noticed the reset.
+    let mut staying_client = wait_for("the request id to be free", || {
         let mut client = balancer.client();
         client.send_with_id("mine", "order", "stays");
         balancer.wait_until_caught_up();
-        client.0.set_nonblocking(true).expect("set");
+        client.0.set_nonblocking(true).expect("set the socket option");
         let open = client.0.peek(&mut [0]).is_err_and(|error| error.kind() == ErrorKind::WouldBlock);
-        client.0.set_nonblocking(false).expect("set");
+        client.0.set_nonblocking(false).expect("set the socket option");
         open.then_some(client)
     });
     drop(filling);
     let upstream = Upstream::on(listener, |_, _| ok("served"));
-    assert_eq!(stays.answer().expect("an answer").status(), 200);
+    assert_eq!(staying_client.answer().expect("an answer").status(), 200);
     let bodies: Vec<_> = upstream.requests().into_iter().map(|(_, request)| request.body).collect();
     assert_eq!(bodies, [b"stays"]);
 }
 
-/// Guards against writing to a connection that the upstream has closed: the next request finds a new one.
+/// Guards against writing to a connection that the upstream has closed: the next request opens a new one.
 #[test]
 fn a_connection_that_the_upstream_closed_is_not_used_again() {
     let upstream = Upstream::start(|_, _| {
@@ -336,20 +349,20 @@
     }
 }
 
-/// Guards requests against what an earlier answer left behind on a connection: whether it comes with the answer
-/// or later, it answers nobody.
+/// Guards against bytes that follow an answer on its connection being taken for the answer to the next
+/// request, whether they arrive together with the answer or later.
 #[test]
 fn leftover_bytes_of_an_answer_are_not_taken_for_the_next() {
-    for behind in
+    for trailing_bytes in
         ["HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nstale", "\0noise", "HTTP/1.1 100 Continue\r\n\r\n"]
     {
         let upstream = Upstream::start(move |number, _| {
-            let own = format!("answer {number}");
-            let ahead = "HTTP/1.1 102 Processing\r\n\r\n".repeat(number % 3 * 20);
+            let body = format!("answer {number}");
+            let interim = "HTTP/1.1 102 Processing\r\n\r\n".repeat(number % 3 * 20);
             Reply::Bytes(
                 format!(
-                    "{ahead}HTTP/1.1 200 OK\r\nX-Load: \u{1}=,=x\r\nContent-Length: {}\r\n\r\n{own}{behind}",
-                    own.len()
+                    "{interim}HTTP/1.1 200 OK\r\nX-Load: \u{1}=,=x\r\nContent-Length: {}\r\n\r\n{body}{trailing_bytes}",
+                    body.len()
                 )
                 .replace('\u{1}', "util=1e999;")
                 .into_bytes(),
@@ -358,13 +371,17 @@
         let (balancer, _discovery) = Balancer::with(&[endpoint("s-1", upstream.address, 0, "ready")], 30.0);
         let mut client = balancer.client();
         for number in 0..20 {
-            assert_eq!(client.ask("order", "x").body, format!("answer {number}").into_bytes(), "{behind:?}");
+            assert_eq!(
+                client.ask("order", "x").body,
+                format!("answer {number}").into_bytes(),
+                "{trailing_bytes:?}"
+            );
         }
     }
 }
 
-/// Guards time and memory against answers that have no end: each is given up long before the client is, and its
-/// connection closed at once.
+/// Guards time and memory against answers without an end: each is abandoned long before the client's
+/// deadline, and its connection is closed at once.
 #[test]
 fn an_endless_answer_is_abandoned() {
     let length = "HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nabc".to_owned();
@@ -379,7 +396,7 @@
     }
 }
 
-/// Guards memory and the client against an answer past the limit of the protocol.
+/// Guards memory and the client against an answer that exceeds the protocol's size limit.
 #[test]
 fn an_oversized_answer_is_a_failure() {
     let upstream = Upstream::start(|_, _| ok(&"x".repeat(65 * 1024)));
@@ -387,22 +404,22 @@
     assert_eq!(balancer.client().ask("order", "one").status(), 502);
 }
 
-/// Found on r7909: 30 ms taken off a client's time in each tier left nothing of the time of clients with short deadlines, and
-/// their calls were refused unsent below the first tier.
+/// Found on r7909: each tier deducted 30 ms from the client's deadline, which left nothing of short ones, so
+/// that below the first tier such calls were refused unsent.
 #[test]
 fn a_call_with_a_short_deadline_is_still_sent() {
     let upstream = Upstream::start(|_, _| ok("served"));
     let (balancer, _discovery) = Balancer::with(&[endpoint("s-1", upstream.address, 0, "ready")], 0.5);
     let mut client = balancer.client();
-    // One may be held up on a busy machine; of many one gets through, or none ever does.
-    wait_for("a call with a short deadline is sent", || {
+    // A busy machine may delay single calls beyond their deadline; with the fault every call is refused unsent.
+    wait_for("a call with a short deadline to reach the upstream", || {
         client.send_with_deadline(0.03, "read");
-        client.answer().expect("an answer in any case");
+        client.answer().expect("an answer, served or not");
         (!upstream.requests().is_empty()).then_some(())
     });
 }
 
-/// The text of a configuration with these upstreams, whose settings do not allow to cancel.
+/// The text of a configuration with these upstreams whose settings don't allow cancelling attempts.
 fn without_cancel(discovery: &Discovery, known: &[serde_json::Value]) -> String {
     let text = configuration(discovery.address, known, 30.0, 1024);
     let without = text.replace(r#""cancel":true"#, r#""cancel":false"#);
@@ -410,41 +427,42 @@
     without
 }
 
-/// Guards against work for nobody where a client has left while its request waited for a connection: it does not
-/// go out when that comes up, whatever the settings allow. One whose client is still there does.
+/// Guards against wasted work when a client disconnects while its request waits for an upstream connection:
+/// the request is not sent once the connection is established, whatever the settings allow. The request of a
+/// client that is still connected is sent.
 #[test]
 fn a_late_connection_does_not_carry_the_request_of_a_disconnected_client() {
     let (listener, filling) = full_listener();
-    let known = [endpoint("s-1", listener.local_addr().expect("bound"), 0, "ready")];
+    let known = [endpoint("s-1", listener.local_addr().expect("a bound socket"), 0, "ready")];
     let discovery = Discovery::start();
     let balancer = Balancer::start(&without_cancel(&discovery, &known));
-    let (mut leaves, mut stays) = (balancer.client(), balancer.client());
-    leaves.send_with_id("mine", "order", "leaves");
+    let (mut leaving_client, mut staying_client) = (balancer.client(), balancer.client());
+    leaving_client.send_with_id("mine", "order", "leaves");
     balancer.wait_until_caught_up();
-    drop(leaves);
+    drop(leaving_client);
     balancer.wait_until_caught_up();
-    // The id is free again, and not answered with a conflict: its attempt is over and not just alone.
-    stays.send_with_id("mine", "order", "stays");
+    // The request id is free again, so the answer is no 409: the attempt is over, not only abandoned by its client.
+    staying_client.send_with_id("mine", "order", "stays");
     balancer.wait_until_caught_up();
-    stays.0.set_nonblocking(true).expect("set");
-    assert!(stays.0.peek(&mut [0]).is_err_and(|error| error.kind() == ErrorKind::WouldBlock));
-    stays.0.set_nonblocking(false).expect("set");
+    staying_client.0.set_nonblocking(true).expect("set the socket option");
+    assert!(staying_client.0.peek(&mut [0]).is_err_and(|error| error.kind() == ErrorKind::WouldBlock));
+    staying_client.0.set_nonblocking(false).expect("set the socket option");
     drop(filling);
     let upstream = Upstream::on(listener, |_, _| ok("served"));
-    assert_eq!(stays.answer().expect("an answer").status(), 200);
+    assert_eq!(staying_client.answer().expect("an answer").status(), 200);
     let bodies: Vec<_> = upstream.requests().into_iter().map(|(_, request)| request.body).collect();
     assert_eq!(bodies, [b"stays"]);
 }
 
-/// Guards the same for a request that waits for another attempt: the first ends after the client has gone, in a
-/// way in which it would be sent again.
+/// Guards against wasted work when a client disconnects while an attempt is in flight: if the attempt then
+/// fails in a way that allows a retry, there is none.
 #[test]
 fn a_failed_attempt_is_not_retried_after_its_client_disconnected() {
     let (fail, failing) = std::sync::mpsc::channel::<()>();
     let failing = std::sync::Mutex::new(failing);
     let script = move |_: usize, message: &Message| {
         if message.line.starts_with("GET") {
-            let _ = failing.lock().expect("no panic").recv();
+            let _ = failing.lock().expect("no thread panicked").recv();
             return status("503 Full\r\nX-Not-Run: 1");
         }
         ok("served")
@@ -463,33 +481,34 @@
     let discovery = Discovery::start();
     let balancer = Balancer::start(&without_cancel(&discovery, &known));
     let seen = || upstreams.iter().map(|upstream| upstream.requests().len()).sum::<usize>();
-    // One whose client stays is sent to the other.
-    let mut stays = balancer.client();
-    stays.send("read", "");
-    wait_for("the first attempt", || (seen() == 1).then_some(()));
-    fail.send(()).expect("an upstream waits");
-    wait_for("the second attempt", || (seen() == 2).then_some(()));
-    fail.send(()).expect("an upstream waits");
-    assert_eq!(stays.answer().expect("an answer").status(), 503);
-    let mut leaves = balancer.client();
-    leaves.send("read", "");
-    wait_for("the first attempt", || (seen() == 3).then_some(()));
-    drop(leaves);
+    // A request whose client stays connected is retried on the other upstream.
+    let mut staying_client = balancer.client();
+    staying_client.send("read", "");
+    wait_for("the first attempt to reach an upstream", || (seen() == 1).then_some(()));
+    fail.send(()).expect("an upstream waits for the signal");
+    wait_for("the second attempt to reach an upstream", || (seen() == 2).then_some(()));
+    fail.send(()).expect("an upstream waits for the signal");
+    assert_eq!(staying_client.answer().expect("an answer").status(), 503);
+    let mut leaving_client = balancer.client();
+    leaving_client.send("read", "");
+    wait_for("the first attempt to reach an upstream", || (seen() == 3).then_some(()));
+    drop(leaving_client);
     balancer.wait_until_caught_up();
-    fail.send(()).expect("an upstream waits");
-    // Whatever follows the failure is sent before what comes after the next answer.
+    fail.send(()).expect("an upstream waits for the signal");
+    // A retry after the failure would reach an upstream before the second of these requests.
     for asked in 4..8 {
-        assert_eq!(stays.ask("order", "x").status(), 200);
+        assert_eq!(staying_client.ask("order", "x").status(), 200);
         assert_eq!(seen(), asked, "it was sent again");
     }
 }
 
-/// Guards against a client that leaves unseen: hyper listens no more once something has come behind the request,
-/// be it a part of a next one, a whole one, or more than is kept of it, together with the request or later.
+/// Guards against missing a disconnect: hyper stops reading once bytes have arrived behind the request. They
+/// may be part of a next request, a whole one or more than the buffer holds, and may arrive together with the
+/// request or later.
 #[test]
 fn a_disconnect_is_noticed_behind_pipelined_bytes() {
     let whole = "GET /read HTTP/1.1\r\nHost: a\r\nX-Request-Id: next\r\nX-Tenant: acme\r\n\r\n";
-    for behind in ["GET /re".to_owned(), whole.to_owned(), format!("GET /{}", "x".repeat(1 << 20))] {
+    for trailing_bytes in ["GET /re".to_owned(), whole.to_owned(), format!("GET /{}", "x".repeat(1 << 20))] {
         for together in [true, false] {
             let upstream = Upstream::start(|_, _| Reply::Silence);
             let (balancer, _discovery) =
@@ -497,22 +516,22 @@
             let mut client = balancer.client();
             let request = "POST /order HTTP/1.1\r\nHost: a\r\nX-Request-Id: r\r\nX-Tenant: acme\r\n\r\n";
             if together {
-                client.raw([request, &behind].concat().as_bytes());
+                client.raw([request, &trailing_bytes].concat().as_bytes());
             } else {
                 client.raw(request.as_bytes());
                 upstream.wait_requests(1);
-                client.raw(behind.as_bytes());
+                client.raw(trailing_bytes.as_bytes());
             }
             upstream.wait_requests(1);
             drop(client);
             upstream.wait_closed(1);
-            assert_eq!(upstream.requests().len(), 1, "{behind:.20}, together: {together}");
+            assert_eq!(upstream.requests().len(), 1, "{trailing_bytes:.20}, together: {together}");
         }
     }
 }
 
-/// Guards against work for nobody behind a request that is out: what its client has sent ahead is not sent on once it has
-/// left, in order or by a reset, though a connection is kept that would take it at once.
+/// Guards against wasted work for requests pipelined behind one in flight: they are not sent once their
+/// client has disconnected, in order or by a reset, although an idle upstream connection is available.
 #[test]
 fn pipelined_requests_of_a_disconnected_client_are_dropped() {
     for resets in [false, true] {
@@ -540,17 +559,17 @@
     }
 }
 
-/// Guards what is read ahead: a next request that comes early is answered after the first, whole, and one that
-/// is too long to be kept ends the connection with the first answer.
+/// Guards read-ahead of pipelined requests: a request that arrives early is answered after the first, whole,
+/// and one that is too long for the buffer closes the connection with the first answer.
 #[test]
 fn pipelined_requests_are_answered_in_order() {
     let (release, held) = std::sync::mpsc::channel::<()>();
     let held = std::sync::Mutex::new(held);
     let upstream = Upstream::start(move |_, message| {
         if message.body == b"held" {
-            let _ = held.lock().expect("no panic").recv();
+            let _ = held.lock().expect("no thread panicked").recv();
         }
-        ok(std::str::from_utf8(&message.body).expect("text"))
+        ok(std::str::from_utf8(&message.body).expect("UTF-8"))
     });
     let (balancer, _discovery) = Balancer::with(&[endpoint("s-1", upstream.address, 0, "ready")], 50.0);
     let mut client = balancer.client();
@@ -560,7 +579,7 @@
     balancer.wait_until_caught_up();
     client.send("order", "third");
     balancer.wait_until_caught_up();
-    release.send(()).expect("the upstream waits");
+    release.send(()).expect("the upstream waits for the signal");
     for body in [&b"held"[..], b"second", b"third"] {
         assert_eq!(client.answer().expect("an answer").body, body);
     }
@@ -568,14 +587,15 @@
     upstream.wait_requests(4);
     client.raw(format!("GET /read?{} HTTP/1.1\r\n\r\n", "x".repeat(1 << 18)).as_bytes());
     balancer.wait_until_caught_up();
-    release.send(()).expect("the upstream waits");
+    release.send(()).expect("the upstream waits for the signal");
     let answer = client.answer().expect("an answer");
     assert_eq!((answer.status(), answer.header("connection")), (200, Some("close")));
     assert!(client.answer().is_none());
 }
 
-/// Guards short windows for repeats: what may have run goes out again within the window only, and does not wait for a
-/// connection that comes up when it is over. Before, it is repeated.
+/// Guards against duplicates with a short deduplication window: a request that may have run is retried within
+/// the window only, and doesn't wait for a connection that is established after it. Within the window it is
+/// retried.
 #[test]
 fn a_retry_is_not_sent_after_its_deduplication_window() {
     for (window, late) in [("2.0", true), ("30.0", false)] {
@@ -585,11 +605,11 @@
             if number > 0 {
                 return ok("served");
             }
-            let _ = held.lock().expect("no panic").recv();
+            let _ = held.lock().expect("no thread panicked").recv();
             Reply::BytesThenClose(Vec::new())
         });
         let (listener, filling) = full_listener();
-        let second = listener.local_addr().expect("bound");
+        let second = listener.local_addr().expect("a bound socket");
         let discovery = Discovery::start();
         let known = [endpoint("s-1", first.address, 0, "ready")];
         let text = configuration(discovery.address, &known, 50.0, 1024);
@@ -605,9 +625,9 @@
         watch.end();
         let (line, _watch) = discovery.watch();
         assert_eq!(line, "GET /catalog/members?follow=1&since=8 HTTP/1.1");
-        release.send(()).expect("the upstream waits");
+        release.send(()).expect("the upstream waits for the signal");
         if late {
-            // Its time and the one for connecting are longer than the client of this test waits.
+            // The request's deadline and the dial timeout are longer than the client of this test waits.
             assert_eq!(client.answer().expect("an answer").status(), 502);
         }
         drop(filling);
@@ -621,12 +641,12 @@
     }
 }
 
-/// Guards drains against attempts under way: what waits for its connection while its upstream begins to drain
-/// does not go out there, and is served elsewhere.
+/// Guards draining upstreams against attempts under way: a request that waits for its connection when the
+/// upstream begins to drain is not sent there, and is served by another upstream.
 #[test]
 fn a_connection_established_after_a_drain_began_carries_no_request() {
     let (listener, filling) = full_listener();
-    let draining = listener.local_addr().expect("bound");
+    let draining = listener.local_addr().expect("a bound socket");
     let other = Upstream::start(|_, _| ok("other"));
     let discovery = Discovery::start();
     let known = [endpoint("s-1", draining, 0, "ready")];
@@ -643,11 +663,11 @@
         false,
         &[endpoint("s-1", draining, 0, "draining"), endpoint("s-2", other.address, 1, "ready")],
     );
-    // The attempt is ended with the drain; it waits neither for the connection nor for its time, which is longer than
-    // the client of this test waits.
+    // The drain ends the attempt. It waits neither for the connection nor for its deadline, which is longer than the
+    // client of this test waits.
     assert_eq!(client.answer().expect("an answer").body, b"other");
     assert_eq!(
-        wait_for("the drain", || Some(balancer.client().ask("read", ""))
+        wait_for("the drain to take effect", || Some(balancer.client().ask("read", ""))
             .filter(|answer| answer.status() == 200))
         .body,
         b"other"
--- a/proxy/tests/clients.rs
+++ b/proxy/tests/clients.rs
@@ -1,4 +1,4 @@
-//! Clients: what they may send, how many there may be, and how the program ends.
+//! Client connections: which requests are valid, how many connections fit, and how the program shuts down.
 
 mod common;
 
@@ -8,7 +8,7 @@
 use common::*;
 use socket2::{Domain, Socket, Type};
 
-/// Guards the decisions against what they can't take, and the client against silence.
+/// Guards the decisions against input that they can't handle, and the client against getting no answer to it.
 #[test]
 fn an_invalid_request_is_rejected_and_not_passed_on() {
     let upstream = Upstream::start(|_, _| ok("served"));
@@ -42,8 +42,9 @@
     }
 }
 
-/// Guards upstreams against a request that hides another, or whose end is in doubt: nothing of it is passed on,
-/// and the connection ends with the error, so that nothing behind it is read as a request.
+/// Guards upstreams against request smuggling: of a request that hides another one or whose end is ambiguous
+/// nothing is passed on, and the connection is closed with the error, so that nothing behind it is read as a
+/// request.
 #[test]
 fn a_request_with_ambiguous_framing_is_not_passed_on() {
     let upstream = Upstream::start(|_, _| ok("served"));
@@ -75,10 +76,10 @@
             .as_bytes(),
         );
         assert_eq!(client.answer().expect("an answer").status(), 400, "{lengths:?}");
-        assert!(client.answer().is_none(), "{lengths:?}: what was hidden is answered");
+        assert!(client.answer().is_none(), "{lengths:?}: the hidden request was answered");
     }
     assert_eq!(upstream.requests().len(), 0);
-    // A body in chunks with nothing behind it is sound.
+    // A chunked body with nothing behind it is valid.
     let mut client = balancer.client();
     client.raw(
         b"POST /order HTTP/1.1\r\nHost: a\r\nX-Request-Id: o\r\nX-Tenant: acme\r\nTransfer-Encoding: chunked\r\n\r\n\
@@ -88,7 +89,8 @@
     assert_eq!(upstream.requests()[0].1.body, b"abc");
 }
 
-/// Guards against a second copy at an upstream: an id is not taken again while its request is open.
+/// Guards against a request running twice at an upstream: an id can't be used again while the request with
+/// this id is open.
 #[test]
 fn the_id_of_an_open_request_is_rejected() {
     let upstream = Upstream::start(|number, _| if number == 0 { Reply::Silence } else { ok("served") });
@@ -100,32 +102,33 @@
     second.send_with_id("mine", "order", "one");
     assert_eq!(second.answer().expect("an answer").status(), 409);
     assert_eq!(upstream.requests().len(), 1);
-    // Once it is over, the id is nobody's.
-    first.0.shutdown(std::net::Shutdown::Both).expect("closed");
+    // Once the request is over, its id can be used again.
+    first.0.shutdown(std::net::Shutdown::Both).expect("shut down the connection");
     upstream.wait_closed(1);
-    wait_for("the id is free", || {
+    wait_for("the request id to be free", || {
         second.send_with_id("mine", "order", "one");
         (second.answer().expect("an answer").status() == 200).then_some(())
     });
 }
 
-/// Guards sockets against clients that never come to the end of a request, or stay after one: each gets an
-/// error or a close by itself, and one that stays gets it later than one that is silent from the start.
+/// Guards sockets against clients that never complete a request, or stay connected after one: each gets an
+/// error or is disconnected without further input. A client that stays after a request is disconnected later
+/// than one that is silent from the start.
 #[test]
 fn a_client_without_a_complete_request_is_disconnected() {
     let upstream = Upstream::start(|_, _| ok("served"));
     let (balancer, _discovery) = Balancer::with(&[endpoint("s-1", upstream.address, 0, "ready")], 30.0);
-    let mut stays = balancer.client();
-    assert_eq!(stays.ask("order", "one").status(), 200);
+    let mut idle_after_request = balancer.client();
+    assert_eq!(idle_after_request.ask("order", "one").status(), 200);
     let mut next = balancer.client();
     assert_eq!(next.ask("order", "one").status(), 200);
     next.raw(b"POST /order HTTP/1.1\r\nHos");
-    for begun in ["", "POST /ord", "POST /order HTTP/1.1\r\nHost: a\r\nX-Fill: "] {
+    for prefix in ["", "POST /ord", "POST /order HTTP/1.1\r\nHost: a\r\nX-Fill: "] {
         let mut client = balancer.client();
-        client.raw(begun.as_bytes());
-        assert!(client.answer().is_none(), "{begun:?}");
+        client.raw(prefix.as_bytes());
+        assert!(client.answer().is_none(), "{prefix:?}");
     }
-    assert!(next.answer().is_none() && stays.answer().is_none());
+    assert!(next.answer().is_none() && idle_after_request.answer().is_none());
     for (length, status) in [(100, 408), (60_000_000, 413)] {
         let mut client = balancer.client();
         client.raw(
@@ -144,44 +147,44 @@
     assert_eq!(upstream.requests().len(), 2);
 }
 
-/// Guards answers against what comes behind them: a connection is not closed over bytes that nobody has read, which would
-/// reset it and take along what the system still holds of the answer.
+/// Guards answers against bytes that the client sends behind its request: closing a socket with unread bytes
+/// resets the connection, and the part of the answer that is still in the kernel's buffer would be lost.
 #[test]
 fn unread_bytes_from_the_client_do_not_cut_off_its_answer() {
     let body = "x".repeat(60 * 1024);
     let shared = body.clone();
     let upstream = Upstream::start(move |_, _| ok(&shared));
     let (balancer, _discovery) = Balancer::with(&[endpoint("s-1", upstream.address, 0, "ready")], 30.0);
-    // A small window, so that most of the answer waits on the balancer's side.
-    let socket = Socket::new(Domain::IPV4, Type::STREAM, None).expect("a socket");
-    socket.set_recv_buffer_size(4096).expect("set");
-    socket.connect(&balancer.address.into()).expect("accepted");
+    // With a small receive window most of the answer stays in the balancer's send buffer.
+    let socket = Socket::new(Domain::IPV4, Type::STREAM, None).expect("create a socket");
+    socket.set_recv_buffer_size(4096).expect("set the socket option");
+    socket.connect(&balancer.address.into()).expect("connect to the balancer");
     let mut client = Client(socket.into());
-    client.0.set_read_timeout(Some(HANG_TIMEOUT)).expect("set");
-    // Where a body comes in chunks its connection ends with the answer.
+    client.0.set_read_timeout(Some(HANG_TIMEOUT)).expect("set the socket option");
+    // After a chunked body the balancer closes the connection with the answer.
     client.raw(
         b"POST /order HTTP/1.1\r\nHost: a\r\nX-Request-Id: o\r\nX-Tenant: acme\r\nTransfer-Encoding: chunked\r\n\r\n\
           0\r\n\r\n",
     );
-    assert_eq!(client.0.peek(&mut [0]).expect("an answer begins"), 1);
+    assert_eq!(client.0.peek(&mut [0]).expect("the first bytes of an answer"), 1);
     balancer.wait_until_caught_up();
     client.raw(b"GET /read HTTP/1.1\r\nHost: a\r\n\r\n");
     balancer.wait_until_caught_up();
-    let answer = client.answer().expect("a whole answer");
+    let answer = client.answer().expect("a complete answer");
     assert_eq!((answer.status(), answer.body.len()), (200, body.len()));
     assert!(client.answer().is_none());
     assert_eq!(upstream.requests().len(), 1);
 }
 
-/// Guards clients that rest until the balancer ends their connection and send just then: what comes behind the end is
-/// not sent on, as no answer could reach them; they send it once more elsewhere.
+/// Guards clients that are idle until the balancer closes their connection and send a request just then: it
+/// is not passed on, as no answer could reach them, and they send it again on another connection.
 #[test]
 fn a_request_sent_after_its_connection_was_closed_is_not_passed_on() {
     let upstream = Upstream::start(|_, _| ok("served"));
     let (balancer, _discovery) = Balancer::with(&[endpoint("s-1", upstream.address, 0, "ready")], 30.0);
     let mut client = balancer.client();
     assert_eq!(client.ask("order", "one").status(), 200);
-    assert!(client.answer().is_none(), "it rests until it is ended");
+    assert!(client.answer().is_none(), "an idle connection must be closed by the balancer");
     client.send_with_id("late", "order", "late");
     assert!(client.answer().is_none());
     let _ = client.0.shutdown(std::net::Shutdown::Write);
@@ -192,7 +195,8 @@
     assert_eq!(bodies, [&b"one"[..], b"again"]);
 }
 
-/// Guards the descriptor limit: idle clients give way to new ones, and nobody is left waiting.
+/// Guards the descriptor limit: idle clients are disconnected in favour of new ones, and no client is left
+/// waiting.
 #[test]
 fn idle_clients_are_evicted_when_sockets_run_out() {
     let upstream = Upstream::start(|_, _| ok("served"));
@@ -206,12 +210,13 @@
             client
         })
         .collect();
-    // The first have been closed in favour of the last.
+    // The first clients have been disconnected in favour of the last.
     assert!(clients.remove(0).answer().is_none());
     assert_eq!(upstream.requests().len(), 100);
 }
 
-/// Guards clients whose next request is coming in, when others must give way: one that is idle goes instead.
+/// Guards clients whose next request is partly received when others must be evicted: an idle client is
+/// evicted instead.
 #[test]
 fn a_client_in_the_middle_of_a_request_is_not_evicted() {
     let upstream = Upstream::start(|_, _| ok("served"));
@@ -223,26 +228,26 @@
     first.raw(b"POST /order HTTP/1.1\r\nHost: a\r\nX-Request-Id: r\r\n");
     let mut second = balancer.client();
     assert_eq!(second.ask("order", "one").status(), 200);
-    second.0.set_nonblocking(true).expect("set");
+    second.0.set_nonblocking(true).expect("set the socket option");
     let mut others = Vec::new();
-    wait_for("an idle client gives way", || {
+    wait_for("an idle client to be evicted", || {
         let mut client = balancer.client();
         assert_eq!(client.ask("order", "one").status(), 200);
         others.push(client);
         second.0.peek(&mut [0]).is_ok_and(|bytes| bytes == 0).then_some(())
     });
     first.raw(b"X-Tenant: acme\r\n\r\n");
-    assert_eq!(first.answer().expect("it did not give way").status(), 200);
+    assert_eq!(first.answer().expect("an answer, as the client was not evicted").status(), 200);
 }
 
-/// Guards clients that were served just now, when sockets run short: idle connections to upstreams go first.
+/// Guards recently served clients when sockets run short: idle connections to upstreams are closed first.
 #[test]
 fn idle_upstream_connections_are_closed_before_recent_clients() {
     let (release, held) = std::sync::mpsc::channel::<()>();
     let held = std::sync::Mutex::new(held);
     let upstream = Upstream::start(move |_, message| {
         if message.body == b"held" {
-            let _ = held.lock().expect("no panic").recv();
+            let _ = held.lock().expect("no thread panicked").recv();
         }
         ok("served")
     });
@@ -267,7 +272,7 @@
     assert_eq!(clients[0].ask("order", "one").status(), 200);
 }
 
-/// Guards the same against connections that never carry a request.
+/// Guards the descriptor limit against connections that never carry a request: they are evicted too.
 #[test]
 fn clients_that_never_send_a_request_are_evicted() {
     let upstream = Upstream::start(|_, _| ok("served"));
@@ -275,13 +280,13 @@
     let known = [endpoint("s-1", upstream.address, 0, "ready")];
     let balancer = Balancer::start(&configuration(discovery.address, &known, 30.0, 48));
     let mut silent: Vec<Client> = (0..60).map(|_| balancer.client()).collect();
-    wait_for("an answer beside them", || {
+    wait_for("an answer despite the other connections", || {
         (balancer.client().ask("order", "one").status() == 200).then_some(())
     });
     assert!(silent.remove(0).answer().is_none());
 }
 
-/// Guards the read of a request that comes in pieces: it is taken with its last byte.
+/// Guards the reading of a request that arrives in pieces: it is passed on only with its last byte.
 #[test]
 fn a_request_may_arrive_in_pieces() {
     let upstream = Upstream::start(|_, _| ok("served"));
@@ -298,8 +303,8 @@
     assert_eq!(upstream.requests()[0].1.body, b"instalments");
 }
 
-/// Guards clients against waiting for a socket that does not come: with all busy, the rest are refused at
-/// once, and truly.
+/// Guards clients against waiting for a socket that never becomes free: when all are busy, further requests
+/// are refused at once, and none of them has been sent.
 #[test]
 fn busy_clients_beyond_the_budget_are_refused() {
     let upstream = Upstream::start(|_, _| Reply::Silence);
@@ -307,12 +312,15 @@
     let known = [endpoint("s-1", upstream.address, 0, "ready")];
     let balancer = Balancer::start(&configuration(discovery.address, &known, 50.0, 48));
     let mut waiting = Vec::new();
-    let refused = wait_for("a refusal", || {
+    let refused = wait_for("a refused request", || {
         let mut client = balancer.client();
         client.send("order", "one");
-        client.0.set_read_timeout(Some(std::time::Duration::from_millis(200))).expect("set");
+        client
+            .0
+            .set_read_timeout(Some(std::time::Duration::from_millis(200)))
+            .expect("set the socket option");
         let answered = client.0.peek(&mut [0]).is_ok();
-        client.0.set_read_timeout(Some(HANG_TIMEOUT)).expect("set");
+        client.0.set_read_timeout(Some(HANG_TIMEOUT)).expect("set the socket option");
         if answered {
             return client.answer();
         }
@@ -323,8 +331,8 @@
     assert!(upstream.requests().len() < 48, "{}", upstream.requests().len());
 }
 
-/// Guards the accept loop against EMFILE: with fewer descriptors than the budget says, and nobody who reads
-/// the log of it, clients are still served, then as before.
+/// Guards the accept loop against EMFILE: with fewer descriptors than the configured limit, and with nobody
+/// reading the log, clients are served during the shortage and after it.
 #[test]
 fn running_out_of_descriptors_does_not_end_the_program() {
     let upstream = Upstream::start(|_, _| ok("served"));
@@ -334,32 +342,32 @@
     let (address, log) = address(&mut child);
     drop(log);
     let many: Vec<Client> = (0..80).map(|_| Client::connect(address)).collect();
-    wait_for("an answer beside them", || {
+    wait_for("an answer despite the other connections", || {
         let mut client = Client::connect(address);
         client.send("order", "one");
         client.answer().filter(|answer| answer.status() == 200)
     });
     drop(many);
-    wait_for("an answer after it", || {
+    wait_for("an answer once the descriptors are free again", || {
         let mut client = Client::connect(address);
         client.send("order", "one");
         client.answer().filter(|answer| answer.status() == 200)
     });
-    assert!(child.try_wait().expect("known").is_none());
-    child.kill().expect("it runs");
-    child.wait().expect("ends");
+    assert!(child.try_wait().expect("the state of the program").is_none());
+    child.kill().expect("the program runs");
+    child.wait().expect("the program ends");
 }
 
-/// Guards planned restarts: after SIGTERM clients are served on as long as there is time for answers, on the
-/// connections that they have, too: they may have nowhere else to go. Then each connection is closed between
-/// requests, what was taken is finished, and the program ends by itself.
+/// Guards planned restarts: after SIGTERM clients are still served, also on their open connections, as they
+/// may have no other balancer, for as long as there is time for answers. Then each connection is closed
+/// between requests, accepted requests are finished, and the program ends by itself.
 #[test]
 fn sigterm_finishes_accepted_requests() {
     let (release, held) = std::sync::mpsc::channel::<()>();
     let held = std::sync::Mutex::new(held);
     let upstream = Upstream::start(move |number, _| {
         if number == 0 {
-            let _ = held.lock().expect("no panic").recv();
+            let _ = held.lock().expect("no thread panicked").recv();
         }
         ok("served")
     });
@@ -367,29 +375,29 @@
     let known = [endpoint("s-1", upstream.address, 0, "ready")];
     let mut child = program(&configuration(discovery.address, &known, 30.0, 1024));
     let (address, _log) = address(&mut child);
-    let mut taken = Client::connect(address);
-    taken.send("order", "one");
+    let mut accepted = Client::connect(address);
+    accepted.send("order", "one");
     upstream.wait_requests(1);
     let mut idle = Client::connect(address);
     assert_eq!(idle.ask("order", "two").header("connection"), None);
-    let killed = Command::new("kill").args(["-TERM", &child.id().to_string()]).status().expect("sent");
-    assert!(killed.success());
+    let signalled = Command::new("kill").args(["-TERM", &child.id().to_string()]).status().expect("run kill");
+    assert!(signalled.success());
     for _ in 0..10 {
         idle.send("order", "three");
-        assert_eq!(idle.answer().expect("it is still open").status(), 200);
+        assert_eq!(idle.answer().expect("an answer on the open connection").status(), 200);
         assert_eq!(Client::connect(address).ask("order", "three").status(), 200);
         std::thread::sleep(std::time::Duration::from_millis(10));
     }
-    // It is closed between requests, and the program waits for the one that is out.
+    // The idle connection is closed between requests; the program waits for the request in flight.
     assert!(idle.answer().is_none());
-    assert!(child.try_wait().expect("known").is_none());
-    release.send(()).expect("the upstream waits");
-    assert_eq!(taken.answer().expect("an answer").status(), 200);
-    assert!(child.wait().expect("ends").success());
+    assert!(child.try_wait().expect("the state of the program").is_none());
+    release.send(()).expect("the upstream waits for the signal");
+    assert_eq!(accepted.answer().expect("an answer").status(), 200);
+    assert!(child.wait().expect("the program ends").success());
 }
 
-/// Guards the end against signals that come together, at the start, twice, in any order: what was taken before is
-/// answered, also when it was only half in, and the program ends in peace.
+/// Guards shutdown against signals that arrive together, during start, twice or in any order: requests
+/// accepted before are answered, also one that was only half received, and the program exits successfully.
 #[test]
 fn overlapping_signals_end_the_program_cleanly() {
     for signals in [["TERM", "TERM"], ["HUP", "TERM"], ["TERM", "HUP"]] {
@@ -397,38 +405,39 @@
         let held = std::sync::Mutex::new(held);
         let upstream = Upstream::start(move |number, _| {
             if number == 0 {
-                let _ = held.lock().expect("no panic").recv();
+                let _ = held.lock().expect("no thread panicked").recv();
             }
             ok("served")
         });
         let (old, new) = (Discovery::start(), Discovery::start());
         let known = [endpoint("s-1", upstream.address, 0, "ready")];
         let file = configuration_file(&configuration(old.address, &known, 30.0, 1024));
-        let mut child = command_with_descriptor_limit(1024, &file).spawn().expect("starts");
+        let mut child = command_with_descriptor_limit(1024, &file).spawn().expect("start the program");
         let (address, _log) = address(&mut child);
-        let mut taken = Client::connect(address);
-        taken.send("order", "one");
+        let mut accepted = Client::connect(address);
+        accepted.send("order", "one");
         upstream.wait_requests(1);
-        let mut half = Client::connect(address);
-        half.raw(b"POST /order HTTP/1.1\r\nHost: a\r\nX-Request-Id: half\r\n");
-        std::fs::write(&file, configuration(new.address, &known, 30.0, 1024)).expect("written");
+        let mut half_sent = Client::connect(address);
+        half_sent.raw(b"POST /order HTTP/1.1\r\nHost: a\r\nX-Request-Id: half\r\n");
+        std::fs::write(&file, configuration(new.address, &known, 30.0, 1024))
+            .expect("write the configuration file");
         for signal in signals {
             let sent = Command::new("kill").args([&format!("-{signal}"), &child.id().to_string()]).status();
-            assert!(sent.expect("sent").success());
+            assert!(sent.expect("run kill").success());
         }
         if signals.contains(&"HUP") {
             let _new_watch = new.watch();
         }
-        half.raw(b"X-Tenant: acme\r\n\r\n");
-        assert_eq!(half.answer().expect("an answer").status(), 200, "{signals:?}");
-        release.send(()).expect("the upstream waits");
-        assert_eq!(taken.answer().expect("an answer").status(), 200, "{signals:?}");
-        assert!(child.wait().expect("ends").success(), "{signals:?}");
+        half_sent.raw(b"X-Tenant: acme\r\n\r\n");
+        assert_eq!(half_sent.answer().expect("an answer").status(), 200, "{signals:?}");
+        release.send(()).expect("the upstream waits for the signal");
+        assert_eq!(accepted.answer().expect("an answer").status(), 200, "{signals:?}");
+        assert!(child.wait().expect("the program ends").success(), "{signals:?}");
     }
 }
 
-/// Guards what was taken against the kill that follows SIGTERM: it gets its one answer before, though an
-/// attempt that may have run is still out.
+/// Guards accepted requests against the SIGKILL that follows SIGTERM: each gets its one answer before,
+/// although an attempt that may have run is still in flight.
 #[test]
 fn shutdown_answers_requests_in_flight() {
     let upstream = Upstream::start(|_, _| Reply::Silence);
@@ -446,8 +455,9 @@
     upstream.wait_closed(2);
 }
 
-/// Guards what a drain can still serve: clients bring no new connections then, and take a balancer without a
-/// free one for gone. So the last free ones are kept, by a refusal at once, where there are more than a few.
+/// Guards the capacity of a draining balancer: clients open no new connections then, and take a balancer
+/// without a free one for gone. So requests on the last free connections are refused at once, which keeps
+/// these connections free, where there are more than a few.
 #[test]
 fn a_drain_keeps_connections_free() {
     let upstream =
@@ -457,32 +467,34 @@
     for client in &mut clients {
         assert_eq!(client.ask("read", "x").status(), 200);
     }
-    let mut last = clients.pop().expect("one of them");
+    let mut last = clients.pop().expect("eight or more clients");
     for client in &mut clients[..6] {
         client.send("read", "held");
     }
     upstream.wait_requests(14);
-    assert_eq!(last.ask("read", "x").status(), 200, "before the drain none is kept");
+    assert_eq!(last.ask("read", "x").status(), 200, "no connection is kept free before the drain");
     balancer.stop();
-    let refused = wait_for("the drain", || {
+    let refused = wait_for("the drain to take effect", || {
         let answer = last.ask("read", "x");
         (answer.status() != 200).then_some(answer)
     });
     assert_eq!((refused.status(), refused.header("retry-after")), (503, Some("1.500")));
     assert_eq!(refused.header("connection"), None);
     clients.drain(..5);
-    wait_for("few are left", || (last.ask("read", "x").status() == 200).then_some(()));
+    wait_for("few connections to be left, all of them in use", || {
+        (last.ask("read", "x").status() == 200).then_some(())
+    });
 }
 
-/// Found on r7000: a quarter of the clients' connections was kept free, and with it every second request of a
-/// busy day was refused. Beyond the last two all are of use.
+/// Found on r7000: keeping a quarter of the clients' connections free refused every second request on a busy
+/// day. Only the last two free connections are kept.
 #[test]
 fn a_drain_serves_on_all_connections_but_the_last_free_ones() {
     let (release, held) = std::sync::mpsc::channel::<()>();
     let held = std::sync::Mutex::new(held);
     let upstream = Upstream::start(move |_, message| {
         if message.body == b"held" {
-            let _ = held.lock().expect("no panic").recv();
+            let _ = held.lock().expect("no thread panicked").recv();
         }
         ok("served")
     });
@@ -491,22 +503,25 @@
     for client in &mut clients {
         assert_eq!(client.ask("read", "x").status(), 200);
     }
-    let mut last = clients.pop().expect("one of them");
+    let mut last = clients.pop().expect("eight or more clients");
     for client in &mut clients[..18] {
         client.send("read", "held");
     }
     upstream.wait_requests(38);
     balancer.stop();
-    wait_for("the drain", || (last.ask("read", "x").status() == 503).then_some(()));
+    wait_for("the drain to take effect", || (last.ask("read", "x").status() == 503).then_some(()));
     for _ in 0..2 {
-        release.send(()).expect("the upstream waits");
+        release.send(()).expect("the upstream waits for the signal");
     }
-    // With that two more are free, or will be in a moment.
-    wait_for("a free connection is used", || (last.ask("read", "x").status() == 200).then_some(()));
+    // The two released requests free two more connections, at once or in a moment.
+    wait_for("a request on a free connection to be served", || {
+        (last.ask("read", "x").status() == 200).then_some(())
+    });
     drop(release);
 }
 
-/// Found on r7000: connections were closed long before the end, and clients had no balancer until the next one.
+/// Found on r7000: connections were closed long before the end of the drain, and clients had no balancer
+/// until the next one started.
 #[test]
 fn a_drain_keeps_connections_open_until_shortly_before_the_end() {
     let upstream = Upstream::start(|_, _| ok("served"));
@@ -514,18 +529,18 @@
     let mut client = balancer.client();
     let stopped = std::time::Instant::now();
     balancer.stop();
-    let closed_after = wait_for("the end of the connection", || {
+    let closed_after = wait_for("the connection to be closed", || {
         client.send("read", "x");
         let closes = client.answer().is_none_or(|answer| answer.header("connection") == Some("close"));
         std::thread::sleep(std::time::Duration::from_millis(20));
         closes.then(|| stopped.elapsed())
     });
-    // SIGKILL may come 3.7 s after SIGTERM, and the clock above began before the drain.
+    // SIGKILL may follow 3.7 s after SIGTERM; `stopped` was taken before the drain began.
     assert!(closed_after >= std::time::Duration::from_millis(2800), "closed after {closed_after:?}");
 }
 
-/// Guards reloads: SIGHUP does not end the program; the new file's address goes before the environment's, and
-/// a file that makes no sense changes nothing.
+/// Guards reloads: SIGHUP does not end the program, the address in the new file takes precedence over the one
+/// in the environment, and a malformed file changes nothing.
 #[test]
 fn sighup_moves_to_the_discovery_of_the_new_file() {
     let upstream = Upstream::start(|_, _| ok("served"));
@@ -536,29 +551,29 @@
     let mut child = command_with_descriptor_limit(1024, &file)
         .env("PROXY_DISCOVERY", old.address.to_string())
         .spawn()
-        .expect("starts");
+        .expect("start the program");
     let (address, mut log) = address(&mut child);
     let _old_watch = old.watch();
     let hang_up = |text: &str| {
-        std::fs::write(&file, text).expect("written");
-        let sent = Command::new("kill").args(["-HUP", &child.id().to_string()]).status().expect("sent");
+        std::fs::write(&file, text).expect("write the configuration file");
+        let sent = Command::new("kill").args(["-HUP", &child.id().to_string()]).status().expect("run kill");
         assert!(sent.success());
     };
     let mut line = String::new();
     hang_up("{");
     while !line.contains("the new configuration is rejected, the old one stays in force") {
         line.clear();
-        assert!(log.read_line(&mut line).expect("a line") > 0, "the program ended");
+        assert!(log.read_line(&mut line).expect("a log line") > 0, "the program ended");
     }
     hang_up(&text(&new));
     let _new_watch = new.watch();
     let mut client = Client::connect(address);
     assert_eq!(client.ask("order", "one").status(), 200);
-    child.kill().expect("it runs");
-    child.wait().expect("ends");
+    child.kill().expect("the program runs");
+    child.wait().expect("the program ends");
 }
 
-/// Guards operators against a program that runs on a configuration it did not understand.
+/// Guards operators against a program that runs on a configuration that it could not parse.
 #[test]
 fn an_invalid_configuration_is_reported_and_refused() {
     let sound = configuration(dead_address(), &[], 1.0, 1024);
@@ -581,10 +596,10 @@
     ] {
         assert_ne!(text, sound);
         let child = program(&text);
-        let done = child.wait_with_output().expect("ends");
-        let log = String::from_utf8_lossy(&done.stderr).into_owned();
-        assert!(!done.status.success() && log.contains(part) && !log.contains("panicked"), "{part}: {log}");
-        // Nobody is let in before the configuration is understood.
+        let output = child.wait_with_output().expect("the program ends");
+        let log = String::from_utf8_lossy(&output.stderr).into_owned();
+        assert!(!output.status.success() && log.contains(part) && !log.contains("panicked"), "{part}: {log}");
+        // The program must not accept clients before it has parsed the configuration.
         assert!(!log.contains("listens"), "{part}: {log}");
     }
 }
