--- a/proxy/tests/attempts.rs
+++ b/proxy/tests/attempts.rs
@@ -563,11 +563,11 @@
 /// and one that is too long for the buffer closes the connection with the first answer.
 #[test]
 fn pipelined_requests_are_answered_in_order() {
-    let (release, held) = std::sync::mpsc::channel::<()>();
-    let held = std::sync::Mutex::new(held);
+    let (release, released) = std::sync::mpsc::channel::<()>();
+    let released = std::sync::Mutex::new(released);
     let upstream = Upstream::start(move |_, message| {
         if message.body == b"held" {
-            let _ = held.lock().expect("no thread panicked").recv();
+            let _ = released.lock().expect("no thread panicked").recv();
         }
         ok(std::str::from_utf8(&message.body).expect("UTF-8"))
     });
@@ -599,13 +599,13 @@
 #[test]
 fn a_retry_is_not_sent_after_its_deduplication_window() {
     for (window, late) in [("2.0", true), ("30.0", false)] {
-        let (release, held) = std::sync::mpsc::channel::<()>();
-        let held = std::sync::Mutex::new(held);
+        let (release, released) = std::sync::mpsc::channel::<()>();
+        let released = std::sync::Mutex::new(released);
         let first = Upstream::start(move |number, _| {
             if number > 0 {
                 return ok("served");
             }
-            let _ = held.lock().expect("no thread panicked").recv();
+            let _ = released.lock().expect("no thread panicked").recv();
             Reply::BytesThenClose(Vec::new())
         });
         let (listener, filling) = full_listener();
--- a/proxy/tests/clients.rs
+++ b/proxy/tests/clients.rs
@@ -243,11 +243,11 @@
 /// Guards recently served clients when sockets run short: idle connections to upstreams are closed first.
 #[test]
 fn idle_upstream_connections_are_closed_before_recent_clients() {
-    let (release, held) = std::sync::mpsc::channel::<()>();
-    let held = std::sync::Mutex::new(held);
+    let (release, released) = std::sync::mpsc::channel::<()>();
+    let released = std::sync::Mutex::new(released);
     let upstream = Upstream::start(move |_, message| {
         if message.body == b"held" {
-            let _ = held.lock().expect("no thread panicked").recv();
+            let _ = released.lock().expect("no thread panicked").recv();
         }
         ok("served")
     });
@@ -341,13 +341,13 @@
     let mut child = program_with_descriptor_limit(32, &configuration(discovery.address, &known, 30.0, 1024));
     let (address, log) = address(&mut child);
     drop(log);
-    let many: Vec<Client> = (0..80).map(|_| Client::connect(address)).collect();
+    let extra_clients: Vec<Client> = (0..80).map(|_| Client::connect(address)).collect();
     wait_for("an answer despite the other connections", || {
         let mut client = Client::connect(address);
         client.send("order", "one");
         client.answer().filter(|answer| answer.status() == 200)
     });
-    drop(many);
+    drop(extra_clients);
     wait_for("an answer once the descriptors are free again", || {
         let mut client = Client::connect(address);
         client.send("order", "one");
@@ -363,11 +363,11 @@
 /// between requests, accepted requests are finished, and the program ends by itself.
 #[test]
 fn sigterm_finishes_accepted_requests() {
-    let (release, held) = std::sync::mpsc::channel::<()>();
-    let held = std::sync::Mutex::new(held);
+    let (release, released) = std::sync::mpsc::channel::<()>();
+    let released = std::sync::Mutex::new(released);
     let upstream = Upstream::start(move |number, _| {
         if number == 0 {
-            let _ = held.lock().expect("no thread panicked").recv();
+            let _ = released.lock().expect("no thread panicked").recv();
         }
         ok("served")
     });
@@ -401,11 +401,11 @@
 #[test]
 fn overlapping_signals_end_the_program_cleanly() {
     for signals in [["TERM", "TERM"], ["HUP", "TERM"], ["TERM", "HUP"]] {
-        let (release, held) = std::sync::mpsc::channel::<()>();
-        let held = std::sync::Mutex::new(held);
+        let (release, released) = std::sync::mpsc::channel::<()>();
+        let released = std::sync::Mutex::new(released);
         let upstream = Upstream::start(move |number, _| {
             if number == 0 {
-                let _ = held.lock().expect("no thread panicked").recv();
+                let _ = released.lock().expect("no thread panicked").recv();
             }
             ok("served")
         });
@@ -467,7 +467,7 @@
     for client in &mut clients {
         assert_eq!(client.ask("read", "x").status(), 200);
     }
-    let mut last = clients.pop().expect("eight or more clients");
+    let mut last = clients.pop().expect("a client");
     for client in &mut clients[..6] {
         client.send("read", "held");
     }
@@ -481,7 +481,7 @@
     assert_eq!((refused.status(), refused.header("retry-after")), (503, Some("1.500")));
     assert_eq!(refused.header("connection"), None);
     clients.drain(..5);
-    wait_for("few connections to be left, all of them in use", || {
+    wait_for("a request to be served once few connections are left", || {
         (last.ask("read", "x").status() == 200).then_some(())
     });
 }
@@ -490,11 +490,11 @@
 /// day. Only the last two free connections are kept.
 #[test]
 fn a_drain_serves_on_all_connections_but_the_last_free_ones() {
-    let (release, held) = std::sync::mpsc::channel::<()>();
-    let held = std::sync::Mutex::new(held);
+    let (release, released) = std::sync::mpsc::channel::<()>();
+    let released = std::sync::Mutex::new(released);
     let upstream = Upstream::start(move |_, message| {
         if message.body == b"held" {
-            let _ = held.lock().expect("no thread panicked").recv();
+            let _ = released.lock().expect("no thread panicked").recv();
         }
         ok("served")
     });
@@ -503,7 +503,7 @@
     for client in &mut clients {
         assert_eq!(client.ask("read", "x").status(), 200);
     }
-    let mut last = clients.pop().expect("eight or more clients");
+    let mut last = clients.pop().expect("a client");
     for client in &mut clients[..18] {
         client.send("read", "held");
     }
--- a/proxy/tests/common/mod.rs
+++ b/proxy/tests/common/mod.rs
@@ -1,6 +1,6 @@
-//! A small world on loopback sockets: upstreams and a discovery that do as the test says, and a client.
-//! Everything listens on port 0; tests wait for what must happen, with limits that only a hang meets.
-#![allow(dead_code, reason = "each test file uses a part of it")]
+//! Stand-ins on loopback sockets for the integration tests: scripted upstreams and a scripted discovery, and a client.
+//! Everything listens on port 0; tests wait for conditions, with time limits that only a hang reaches.
+#![allow(dead_code, reason = "each test file uses only some of the helpers")]
 
 use std::io::{BufRead, BufReader, ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -19,10 +19,10 @@
 use tokio::sync::mpsc::{UnboundedSender, unbounded_channel};
 use tokio::sync::oneshot;
 
-/// Longer than anything takes that works.
+/// Longer than any step takes unless the program hangs.
 pub const HANG_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Waits until `condition` gives something.
+/// Polls `condition` until it returns a value; panics after `HANG_TIMEOUT`.
 pub fn wait_for<T>(what: &str, mut condition: impl FnMut() -> Option<T>) -> T {
     let start = Instant::now();
     loop {
@@ -36,13 +36,13 @@
 
 // --- Messages ---
 
-/// A message as it came: first line, headers in small letters, body.
+/// A received message: first line, headers with their names in lower case, body.
 #[derive(Debug, Clone)]
 pub struct Message {
     pub line: String,
     pub headers: Vec<(String, String)>,
     pub body: Vec<u8>,
-    /// Bytes in all.
+    /// Bytes of head and body together.
     pub size: usize,
 }
 
@@ -56,7 +56,7 @@
     }
 }
 
-/// Reads a message; `None` if the connection ends before one is whole.
+/// Reads a message; `None` if the connection ends before the message is complete.
 pub fn read_message(stream: &mut TcpStream) -> Option<Message> {
     let mut bytes = Vec::new();
     let mut byte = [0];
@@ -64,11 +64,11 @@
         match stream.read(&mut byte) {
             Ok(1) => bytes.push(byte[0]),
             Ok(_) => return None,
-            Err(error) if error.kind() == ErrorKind::WouldBlock => panic!("nothing came for too long"),
+            Err(error) if error.kind() == ErrorKind::WouldBlock => panic!("timed out reading a message"),
             Err(_) => return None,
         }
     }
-    let head = String::from_utf8(bytes).expect("text");
+    let head = String::from_utf8(bytes).expect("UTF-8");
     let mut lines = head.split("\r\n");
     let line = lines.next().expect("a first line").to_owned();
     let headers: Vec<(String, String)> = lines
@@ -76,7 +76,7 @@
         .map(|(name, value)| (name.to_ascii_lowercase(), value.to_owned()))
         .collect();
     let length = headers.iter().find(|(name, _)| name == "content-length");
-    let length = length.map_or(0, |(_, value)| value.parse().expect("a length"));
+    let length = length.map_or(0, |(_, value)| value.parse().expect("a number as Content-Length"));
     let mut body = vec![0; length];
     stream.read_exact(&mut body).ok()?;
     Some(Message { line, headers, body, size: head.len() + length })
@@ -84,16 +84,16 @@
 
 // --- Upstreams ---
 
-/// What an upstream does with a request.
+/// How an upstream responds to a request.
 #[derive(Debug, Clone)]
 pub enum Reply {
-    /// Writes these bytes and goes on.
+    /// Writes these bytes and keeps the connection open.
     Bytes(Vec<u8>),
-    /// Writes these bytes and closes.
+    /// Writes these bytes and closes the connection.
     BytesThenClose(Vec<u8>),
-    /// Writes these bytes and resets the connection, at once or when they have been read.
+    /// Writes these bytes and resets the connection: once the balancer has read them if true, else at once.
     Reset(Vec<u8>, bool),
-    /// Says nothing until the balancer closes.
+    /// Writes nothing until the balancer closes the connection.
     Silence,
 }
 
@@ -113,30 +113,31 @@
     closed: usize,
 }
 
+/// A scripted upstream that records its requests and connections.
 pub struct Upstream {
     pub address: SocketAddr,
     observed: Arc<Mutex<Observed>>,
 }
 
 impl Upstream {
-    /// Starts one that answers by `script`, which is told the number of the request.
+    /// Starts an upstream that answers as `script` returns, which gets the number of the request, from 0.
     pub fn start(script: impl Fn(usize, &Message) -> Reply + Send + Sync + 'static) -> Self {
-        Self::on(TcpListener::bind("127.0.0.1:0").expect("a free port"), script)
+        Self::on(TcpListener::bind("127.0.0.1:0").expect("bind to a free port"), script)
     }
 
-    /// Starts one on a listener that is there already.
+    /// Starts an upstream on this listener.
     pub fn on(
         listener: TcpListener,
         script: impl Fn(usize, &Message) -> Reply + Send + Sync + 'static,
     ) -> Self {
-        let address = listener.local_addr().expect("bound");
+        let address = listener.local_addr().expect("a bound socket");
         let observed = Arc::new(Mutex::new(Observed::default()));
         let (shared, script) = (Arc::clone(&observed), Arc::new(script));
         thread::spawn(move || {
             for stream in listener.incoming().flatten() {
                 let (observed, script) = (Arc::clone(&shared), Arc::clone(&script));
                 let connection = {
-                    let mut observed = observed.lock().expect("no panic");
+                    let mut observed = observed.lock().expect("no thread panicked");
                     observed.connections += 1;
                     observed.connections
                 };
@@ -146,21 +147,22 @@
         Self { address, observed }
     }
 
+    /// The requests so far, each with the number of its connection, from 1.
     pub fn requests(&self) -> Vec<(usize, Message)> {
-        self.observed.lock().expect("no panic").requests.clone()
+        self.observed.lock().expect("no thread panicked").requests.clone()
     }
 
     pub fn connections(&self) -> usize {
-        self.observed.lock().expect("no panic").connections
+        self.observed.lock().expect("no thread panicked").connections
     }
 
     pub fn wait_requests(&self, count: usize) {
-        wait_for("requests at the upstream", || (self.requests().len() >= count).then_some(()));
+        wait_for("requests to arrive at the upstream", || (self.requests().len() >= count).then_some(()));
     }
 
     pub fn wait_closed(&self, count: usize) {
-        wait_for("the balancer closes", || {
-            (self.observed.lock().expect("no panic").closed >= count).then_some(())
+        wait_for("the balancer to close connections", || {
+            (self.observed.lock().expect("no thread panicked").closed >= count).then_some(())
         });
     }
 }
@@ -173,7 +175,7 @@
 ) {
     while let Some(message) = read_message(&mut stream) {
         let number = {
-            let mut observed = observed.lock().expect("no panic");
+            let mut observed = observed.lock().expect("no thread panicked");
             observed.requests.push((connection, message.clone()));
             observed.requests.len() - 1
         };
@@ -188,7 +190,7 @@
             Reply::Reset(bytes, after_read) => {
                 let _ = stream.write_all(&bytes);
                 if after_read {
-                    wait_for("the answer is read", || is_fully_read(&stream).then_some(()));
+                    wait_for("the balancer to read the answer", || is_fully_read(&stream).then_some(()));
                 }
                 reset(stream);
                 return;
@@ -196,10 +198,10 @@
             Reply::Silence => {}
         }
     }
-    observed.lock().expect("no panic").closed += 1;
+    observed.lock().expect("no thread panicked").closed += 1;
 }
 
-/// Whether the other side has taken all that was written.
+/// Whether the peer has read all bytes that were written.
 fn is_fully_read(stream: &TcpStream) -> bool {
     let address = |address: SocketAddr| match address {
         SocketAddr::V4(address) => {
@@ -207,30 +209,34 @@
         }
         SocketAddr::V6(_) => unreachable!("all tests use IPv4"),
     };
-    let (near, far) = (stream.local_addr().expect("open"), stream.peer_addr().expect("open"));
-    let ends = format!("{} {}", address(far), address(near));
-    let table = std::fs::read_to_string("/proc/net/tcp").expect("Linux");
-    // What the other end has received and not read is the second half of its queues.
-    let line = table.lines().find(|line| line.contains(&ends));
+    let (local, peer) = (
+        stream.local_addr().expect("the connection is open"),
+        stream.peer_addr().expect("the connection is open"),
+    );
+    let socket_pair = format!("{} {}", address(peer), address(local));
+    let table = std::fs::read_to_string("/proc/net/tcp").expect("read /proc/net/tcp");
+    // The second half of the queue sizes of the peer's socket is what it has received but not read.
+    let line = table.lines().find(|line| line.contains(&socket_pair));
     let queues = line.and_then(|line| line.split_whitespace().nth(4));
     queues.is_none_or(|queues| queues.ends_with(":00000000"))
 }
 
-/// Closes with a reset in place of an end.
+/// Closes the connection with a reset instead of an orderly end.
 pub fn reset(stream: TcpStream) {
-    SockRef::from(&stream).set_linger(Some(Duration::ZERO)).expect("set");
+    SockRef::from(&stream).set_linger(Some(Duration::ZERO)).expect("set the socket option");
 }
 
-/// A listener whose connections do not come up before it accepts: its queue is full of those that come with it.
+/// A listener whose further connections are established only once it accepts, as its queue is full. Returns
+/// it with the connections that fill the queue.
 pub fn full_listener() -> (TcpListener, Vec<TcpStream>) {
-    let socket = Socket::new(Domain::IPV4, Type::STREAM, None).expect("a socket");
-    socket.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into()).expect("a free port");
-    socket.listen(0).expect("bound");
+    let socket = Socket::new(Domain::IPV4, Type::STREAM, None).expect("create a socket");
+    socket.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into()).expect("bind to a free port");
+    socket.listen(0).expect("a bound socket");
     let listener = TcpListener::from(socket);
-    let address = listener.local_addr().expect("bound");
+    let address = listener.local_addr().expect("a bound socket");
     let mut queued_connections = Vec::new();
     let mut timeouts = 0;
-    // On loopback one comes up at once or, the queue full, not at all.
+    // On loopback a connection is established at once or, when the queue is full, not at all.
     while timeouts < 2 {
         match TcpStream::connect_timeout(&address, Duration::from_millis(500)) {
             Ok(stream) => queued_connections.push(stream),
@@ -240,16 +246,17 @@
     (listener, queued_connections)
 }
 
-/// An address where nothing listens. Its port stays bound, or another test's upstream might get it.
+/// An address where nothing listens. Its port stays bound, as otherwise another test's upstream might get it.
 pub fn dead_address() -> SocketAddr {
     static BOUND: Mutex<Vec<Socket>> = Mutex::new(Vec::new());
-    let socket = Socket::new(Domain::IPV4, Type::STREAM, None).expect("a socket");
-    socket.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into()).expect("a free port");
-    let address = socket.local_addr().expect("bound").as_socket().expect("IPv4");
-    BOUND.lock().expect("no panic").push(socket);
+    let socket = Socket::new(Domain::IPV4, Type::STREAM, None).expect("create a socket");
+    socket.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into()).expect("bind to a free port");
+    let address = socket.local_addr().expect("a bound socket").as_socket().expect("IPv4");
+    BOUND.lock().expect("no thread panicked").push(socket);
     address
 }
 
+/// An entry of the list of upstreams, as discovery sends it.
 pub fn endpoint(name: &str, address: SocketAddr, group: u32, status: &str) -> Value {
     json!({"name": name, "address": address.to_string(), "zone": "north", "type": "std", "group": group,
            "status": status, "weight": 1.0, "since_ms": 0})
@@ -257,10 +264,10 @@
 
 // --- Discovery ---
 
-/// A discovery whose watches say what the test hands over.
+/// A discovery whose watches send what the test hands over.
 pub struct Discovery {
     pub address: SocketAddr,
-    /// The request lines of the watches, in order, each with what feeds it.
+    /// The opened watches in order: the request line, and the sender of the bytes to write (`None` ends the watch).
     watches: Receiver<(String, Sender<Option<Vec<u8>>>)>,
 }
 
@@ -269,14 +276,14 @@
         Self::with_heartbeat(Duration::from_millis(500))
     }
 
-    /// One whose watches say so every `heartbeat` that nothing has changed.
+    /// A discovery whose watches send an empty line whenever nothing has changed for `heartbeat`.
     pub fn with_heartbeat(heartbeat: Duration) -> Self {
-        Self::on(TcpListener::bind("127.0.0.1:0").expect("a free port"), heartbeat)
+        Self::on(TcpListener::bind("127.0.0.1:0").expect("bind to a free port"), heartbeat)
     }
 
-    /// The same on a listener that is there already.
+    /// A discovery on this listener.
     pub fn on(listener: TcpListener, heartbeat: Duration) -> Self {
-        let address = listener.local_addr().expect("bound");
+        let address = listener.local_addr().expect("a bound socket");
         let (watch_sender, watches) = mpsc::channel();
         thread::spawn(move || {
             for mut stream in listener.incoming().flatten() {
@@ -294,12 +301,12 @@
         Self { address, watches }
     }
 
-    /// The next watch that the balancer has opened, if it has.
+    /// The next watch, if the balancer has opened one already.
     pub fn next_watch(&self) -> Option<(String, Watch)> {
         self.watches.try_recv().ok().map(|(line, chunk_sender)| (line, Watch(chunk_sender)))
     }
 
-    /// The next watch that the balancer opens.
+    /// Waits for the next watch that the balancer opens; returns its request line and the watch.
     pub fn watch(&self) -> (String, Watch) {
         let (line, chunk_sender) =
             self.watches.recv_timeout(HANG_TIMEOUT).expect("the balancer opens a watch");
@@ -312,7 +319,7 @@
         let bytes = match chunks.recv_timeout(heartbeat) {
             Ok(Some(bytes)) => bytes,
             Err(RecvTimeoutError::Timeout) => b"\n".to_vec(),
-            // Ends with no last chunk, as when discovery goes down.
+            // The stream ends without a last chunk, as when discovery goes down.
             Ok(None) | Err(RecvTimeoutError::Disconnected) => return,
         };
         let chunk = [format!("{:x}\r\n", bytes.len()).as_bytes(), &bytes, b"\r\n"].concat();
@@ -322,31 +329,34 @@
     }
 }
 
+/// An open watch: an answer of discovery in chunks, which the test writes.
 pub struct Watch(Sender<Option<Vec<u8>>>);
 
 impl Watch {
     pub fn bytes(&self, bytes: &[u8]) {
-        self.0.send(Some(bytes.to_vec())).expect("the watch stands");
+        self.0.send(Some(bytes.to_vec())).expect("the watch is open");
     }
 
-    /// Says so much if the balancer still listens.
+    /// Sends these bytes; does nothing if the balancer has closed the watch.
     pub fn send_if_open(&self, bytes: &[u8]) {
         let _ = self.0.send(Some(bytes.to_vec()));
     }
 
+    /// Sends the endpoints as a line of the watch: the whole list, or the changed entries only.
     pub fn send_update(&self, index: u64, whole: bool, endpoints: &[Value]) {
         let line = json!({"index": index, "snapshot": whole, "endpoints": endpoints});
         self.bytes(format!("{line}\n").as_bytes());
     }
 
+    /// Ends the watch without a last chunk.
     pub fn end(&self) {
-        self.0.send(None).expect("the watch stands");
+        self.0.send(None).expect("the watch is open");
     }
 }
 
 // --- The balancer ---
 
-/// The settings of the tests: three classes, answers wanted within `on_time_s` seconds.
+/// The settings of the tests: three classes, whose answers are on time within `on_time_s` seconds.
 pub fn settings(on_time_s: f64) -> Value {
     json!({
         "balancers": 1, "me": 0, "tier": 0, "zone": "north", "zones": ["north"], "kinds": ["std"],
@@ -362,7 +372,7 @@
                   "drainGraceS": 1.0, "fallMultiple": 3.0, "overloadForS": 2.0}})
 }
 
-/// The text of a configuration whose list in hand is `known`.
+/// The text of a configuration whose initial list of upstreams is `known`.
 pub fn configuration(discovery: SocketAddr, known: &[Value], on_time_s: f64, sockets: usize) -> String {
     json!({"name": "n0", "listen": "127.0.0.1:0", "discovery": discovery.to_string(), "seed": "8c1f",
            "limits": {"sockets": sockets},
@@ -370,7 +380,7 @@
     .to_string()
 }
 
-/// A balancer on a thread of its own; it drains when dropped.
+/// A balancer on its own thread; it drains when dropped.
 pub struct Balancer {
     pub address: SocketAddr,
     stop: Option<oneshot::Sender<()>>,
@@ -381,14 +391,17 @@
 
 impl Balancer {
     pub fn start(configuration: &str) -> Self {
-        let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
-        listener.set_nonblocking(true).expect("set");
-        let address = listener.local_addr().expect("bound");
-        let config = Config::parse(configuration, |_| None).expect("a sound configuration");
+        let listener = TcpListener::bind("127.0.0.1:0").expect("bind to a free port");
+        listener.set_nonblocking(true).expect("set the socket option");
+        let address = listener.local_addr().expect("a bound socket");
+        let config = Config::parse(configuration, |_| None).expect("a valid configuration");
         let (stop, stop_requested) = oneshot::channel();
         let (reload_sender, reloads) = unbounded_channel();
         let thread = thread::spawn(move || {
-            let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("starts");
+            let runtime = tokio::runtime::Builder::new_current_thread()
+                .enable_all()
+                .build()
+                .expect("start the runtime");
             let result = tokio::task::LocalSet::new().block_on(&runtime, async {
                 let listener = tokio::net::TcpListener::from_std(listener)?;
                 let stop = async {
@@ -402,13 +415,15 @@
         Self { address, stop: Some(stop), configuration, reload_sender, thread: Some(thread) }
     }
 
-    /// With these upstreams, answers wanted within `on_time_s` seconds, and a discovery that has nothing to add.
+    /// Starts a balancer with these upstreams, answers on time within `on_time_s` seconds, and a discovery that sends
+    /// no updates.
     pub fn with(known: &[Value], on_time_s: f64) -> (Self, Discovery) {
         let discovery = Discovery::start();
         (Self::start(&configuration(discovery.address, known, on_time_s, 1024)), discovery)
     }
 
-    /// Returns once the balancer has taken in all that was sent to it before.
+    /// Returns once the balancer has read everything that was sent to it before: by then it has answered
+    /// three health checks, one after the other.
     pub fn wait_until_caught_up(&self) {
         for _ in 0..3 {
             let mut client = self.client();
@@ -421,18 +436,19 @@
         Client::connect(self.address)
     }
 
-    /// As after a reload of a configuration that names this discovery.
+    /// Reloads the configuration with the address of this discovery.
     pub fn move_discovery(&self, discovery: &Discovery) {
         let mut configuration: Value = serde_json::from_str(&self.configuration).expect("JSON");
         configuration["discovery"] = discovery.address.to_string().into();
         self.reload(&configuration.to_string());
     }
 
-    /// As after a reload of a configuration of this text.
+    /// Reloads the configuration from this text.
     pub fn reload(&self, text: &str) {
         self.reload_sender.send(Config::parse(text, |_| None)).expect("the balancer runs");
     }
 
+    /// Begins the drain, as on SIGTERM.
     pub fn stop(&mut self) {
         self.stop.take();
     }
@@ -455,18 +471,22 @@
     program_with_descriptor_limit(1024, configuration)
 }
 
-/// Starts the program where descriptors really run out.
+/// Starts the program with a limit on its descriptors, so that it really runs out of them.
 pub fn program_with_descriptor_limit(descriptors: usize, configuration: &str) -> Child {
-    command_with_descriptor_limit(descriptors, &configuration_file(configuration)).spawn().expect("starts")
+    command_with_descriptor_limit(descriptors, &configuration_file(configuration))
+        .spawn()
+        .expect("start the program")
 }
 
+/// Writes the configuration to a temporary file.
 pub fn configuration_file(configuration: &str) -> PathBuf {
     let mut file = std::env::temp_dir();
     file.push(format!("stilelead-{}-{:?}.json", std::process::id(), std::thread::current().id()));
-    std::fs::write(&file, configuration).expect("written");
+    std::fs::write(&file, configuration).expect("write the configuration file");
     file
 }
 
+/// The command that runs the program with a limit on its descriptors and this configuration file.
 pub fn command_with_descriptor_limit(descriptors: usize, file: &Path) -> Command {
     let mut command = Command::new("/bin/sh");
     command
@@ -477,27 +497,28 @@
     command
 }
 
-/// Where the program says that it listens; its log stays open with the reader.
+/// The address that the program logs as its listening address, and the reader of its log. Dropping
+/// the reader closes the log.
 pub fn address(child: &mut Child) -> (SocketAddr, BufReader<ChildStderr>) {
-    let mut log = BufReader::new(child.stderr.take().expect("piped"));
+    let mut log = BufReader::new(child.stderr.take().expect("a piped stderr"));
     let mut line = String::new();
-    log.read_line(&mut line).expect("a line");
+    log.read_line(&mut line).expect("a log line");
     let address = line.trim().rsplit(' ').next().and_then(|text| text.parse().ok()).expect("an address");
     (address, log)
 }
 
 // --- Clients ---
 
-/// A client's connection.
+/// A client connection to the balancer.
 pub struct Client(pub TcpStream);
 
-/// Numbers the requests: no two have the same id.
+/// The number in the id of the next request, so that ids are unique.
 static NEXT_REQUEST_NUMBER: AtomicUsize = AtomicUsize::new(1);
 
 impl Client {
     pub fn connect(address: SocketAddr) -> Self {
-        let stream = TcpStream::connect(address).expect("accepted");
-        stream.set_read_timeout(Some(HANG_TIMEOUT)).expect("set");
+        let stream = TcpStream::connect(address).expect("connect to the balancer");
+        stream.set_read_timeout(Some(HANG_TIMEOUT)).expect("set the socket option");
         Self(stream)
     }
 
@@ -505,12 +526,12 @@
         self.send_for_tenant("acme", class, body);
     }
 
-    /// With a request id of the test's choice.
+    /// Sends a request with this request id.
     pub fn send_with_id(&mut self, id: &str, class: &str, body: &str) {
         self.send_request(id, "acme", class, body);
     }
 
-    /// For a tenant of the test's choice.
+    /// Sends a request for this tenant.
     pub fn send_for_tenant(&mut self, tenant: &str, class: &str, body: &str) {
         self.send_request(
             &format!("r-{}", NEXT_REQUEST_NUMBER.fetch_add(1, Ordering::Relaxed)),
@@ -520,7 +541,7 @@
         );
     }
 
-    /// For a client that waits so many seconds.
+    /// Sends an idempotent request whose client waits for this many seconds.
     pub fn send_with_deadline(&mut self, seconds: f64, class: &str) {
         let id = format!("r-{}", NEXT_REQUEST_NUMBER.fetch_add(1, Ordering::Relaxed));
         self.raw(
@@ -542,15 +563,17 @@
         self.raw(text.as_bytes());
     }
 
+    /// Writes these bytes as they are.
     pub fn raw(&mut self, bytes: &[u8]) {
-        self.0.write_all(bytes).expect("written");
+        self.0.write_all(bytes).expect("write to the connection");
     }
 
-    /// The answer, if one comes before the connection ends.
+    /// The answer, or `None` if the connection ends before it is complete.
     pub fn answer(&mut self) -> Option<Message> {
         read_message(&mut self.0)
     }
 
+    /// Sends a request and waits for its answer.
     pub fn ask(&mut self, class: &str, body: &str) -> Message {
         self.send(class, body);
         self.answer().expect("an answer")
--- a/proxy/tests/floods.rs
+++ b/proxy/tests/floods.rs
@@ -1,4 +1,5 @@
-//! Clients and upstreams that send much: the program's memory stays small, others are served, and each gets its end.
+//! Floods from clients and upstreams: the program's memory stays small, other clients are served, and each connection
+//! gets an answer or is closed.
 
 mod common;
 
@@ -9,15 +10,15 @@
 use common::*;
 use socket2::{Domain, Socket, Type};
 
-/// Most memory that a program has held so far, in KiB.
+/// The peak memory use of a program so far, in KiB.
 fn peak_kib(program: &std::process::Child) -> u64 {
-    let status = std::fs::read_to_string(format!("/proc/{}/status", program.id())).expect("it runs");
-    let line = status.lines().find(|line| line.starts_with("VmHWM:")).expect("a peak");
+    let status = std::fs::read_to_string(format!("/proc/{}/status", program.id())).expect("the program runs");
+    let line = status.lines().find(|line| line.starts_with("VmHWM:")).expect("a peak memory line");
     line.split_whitespace().nth(1).and_then(|text| text.parse().ok()).expect("a number")
 }
 
-/// Guards memory against bodies in pieces of a byte: kept as they came, each piece costs a hundred times its size.
-/// Both ways, at many connections at once.
+/// Guards memory against bodies in chunks of one byte, which cost a hundred times their size if each chunk is
+/// kept as it arrives. Covers both directions, on many connections at once.
 #[test]
 fn bodies_in_tiny_chunks_use_little_memory() {
     let pieces = b"1\r\na\r\n".repeat(60_000);
@@ -33,7 +34,7 @@
     let known = [endpoint("s-1", upstream.address, 0, "ready")];
     let mut program = program(&configuration(discovery.address, &known, 30.0, 1024));
     let (address, _log) = address(&mut program);
-    let mut flooding = Vec::new();
+    let mut flooding_clients = Vec::new();
     for number in 0..50 {
         let mut client = Client::connect(address);
         client.raw(
@@ -43,30 +44,31 @@
             )
             .as_bytes(),
         );
-        // It may be hung up on meanwhile.
+        // The balancer may close the connection meanwhile.
         let _ = client.0.write_all(&pieces);
-        flooding.push(client);
+        flooding_clients.push(client);
         let mut client = Client::connect(address);
         client.send("read", "");
-        flooding.push(client);
+        flooding_clients.push(client);
     }
     upstream.wait_requests(50);
     assert_eq!(Client::connect(address).ask("order", "one").status(), 200);
-    for mut client in flooding.into_iter().step_by(2) {
+    for mut client in flooding_clients.into_iter().step_by(2) {
         assert!(client.answer().is_none_or(|answer| answer.status() == 408));
     }
     let peak = peak_kib(&program);
-    program.kill().expect("it runs");
-    program.wait().expect("ends");
+    program.kill().expect("the program runs");
+    program.wait().expect("the program ends");
     assert!(peak < 48 * 1024, "{peak} KiB");
 }
 
-fn descriptors(program: &std::process::Child) -> usize {
-    std::fs::read_dir(format!("/proc/{}/fd", program.id())).expect("it runs").count()
+fn open_descriptors(program: &std::process::Child) -> usize {
+    std::fs::read_dir(format!("/proc/{}/fd", program.id())).expect("the program runs").count()
 }
 
-/// Guards memory, descriptors and the others against clients that send much at once and go, and against many that leave
-/// in one moment with their requests out: what they held is free again, and their attempts are over.
+/// Guards memory, descriptors and other clients against clients that send much at once and disconnect, and
+/// against many that disconnect at the same moment with requests in flight: their resources are freed, and
+/// their attempts are cancelled.
 #[test]
 fn flooding_clients_that_disconnect_free_their_resources() {
     let upstream =
@@ -77,16 +79,16 @@
     let (address, _log) = address(&mut program);
     let (_, _watch) = discovery.watch();
     assert_eq!(Client::connect(address).ask("order", "one").status(), 200);
-    let before = descriptors(&program);
-    let mut leaving: Vec<Client> = (0..100).map(|_| Client::connect(address)).collect();
-    for client in &mut leaving {
+    let descriptors_before = open_descriptors(&program);
+    let mut leaving_clients: Vec<Client> = (0..100).map(|_| Client::connect(address)).collect();
+    for client in &mut leaving_clients {
         client.send("order", "held");
     }
     upstream.wait_requests(101);
-    let much = "x".repeat(1 << 20);
+    let flood = "x".repeat(1 << 20);
     let head = "POST /order HTTP/1.1\r\nHost: a\r\nX-Request-Id: m\r\nX-Tenant: acme\r\n";
     for _ in 0..30 {
-        for begun in [
+        for prefix in [
             String::new(),
             format!("{head}X-Fill: "),
             format!("{head}Content-Length: 60000000\r\n\r\n"),
@@ -94,32 +96,35 @@
             format!("{head}Content-Length: 5\r\n\r\nabcde"),
         ] {
             let mut client = Client::connect(address);
-            let _ = client.0.write_all(begun.as_bytes());
-            let _ = client.0.write_all(much.as_bytes());
+            let _ = client.0.write_all(prefix.as_bytes());
+            let _ = client.0.write_all(flood.as_bytes());
         }
     }
     assert_eq!(Client::connect(address).ask("order", "two").status(), 200);
-    drop(leaving);
-    // Their attempts end with them, each with its connection.
+    drop(leaving_clients);
+    // The balancer cancels their attempts and closes the upstream connection of each.
     upstream.wait_closed(100);
-    wait_for("the descriptors are free", || (descriptors(&program) <= before + 2).then_some(()));
+    wait_for("the descriptors to be free again", || {
+        (open_descriptors(&program) <= descriptors_before + 2).then_some(())
+    });
     assert_eq!(Client::connect(address).ask("order", "three").status(), 200);
     let peak = peak_kib(&program);
-    program.kill().expect("it runs");
-    program.wait().expect("ends");
+    program.kill().expect("the program runs");
+    program.wait().expect("the program ends");
     assert!(peak < 32 * 1024, "{peak} KiB");
 }
 
-/// Guards proper clients and the peers themselves where many send no proper request, all at a time: each gets an error or
-/// a close long before this test is impatient, and a proper client is served among them.
+/// Guards valid clients, and the malformed ones themselves, where many send malformed requests at the same
+/// time: each gets an error or is disconnected long before the test's time-out, and a valid client is served
+/// among them.
 #[test]
 fn many_malformed_clients_are_disconnected_while_others_are_served() {
     let upstream = Upstream::start(|_, _| ok("served"));
     let discovery = Discovery::start();
     let known = [endpoint("s-1", upstream.address, 0, "ready")];
     let balancer = Balancer::start(&configuration(discovery.address, &known, 30.0, 256));
-    let good = "GET /read HTTP/1.1\r\nHost: a\r\nX-Request-Id: r\r\nX-Tenant: acme\r\n\r\n";
-    let mut proper = balancer.client();
+    let valid = "GET /read HTTP/1.1\r\nHost: a\r\nX-Request-Id: r\r\nX-Tenant: acme\r\n\r\n";
+    let mut valid_client = balancer.client();
     let mut peers = Vec::new();
     for _ in 0..15 {
         for text in [
@@ -127,20 +132,20 @@
             "\r\n\r\n\r\n".to_owned(),
             "\u{16}\u{3}\u{1}\u{0}\u{1}".to_owned(),
             "PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n".to_owned(),
-            good.replace("acme", "nobody"),
-            good.replace("/read", "/nothing"),
-            good.replace("GET", "BREW"),
-            good.replace("HTTP/1.1", "HTTP/9.9"),
-            good.replace("X-Request-Id: r", "X-Request-Id"),
-            good.replace("\r\n\r\n", "\r\nContent-Length: 10\r\n\r\nabc"),
-            good[..40].to_owned(),
-            good.replace("a\r\n", &format!("a\r\nX-Fill: {}\r\n", "x".repeat(40_000))),
+            valid.replace("acme", "nobody"),
+            valid.replace("/read", "/nothing"),
+            valid.replace("GET", "BREW"),
+            valid.replace("HTTP/1.1", "HTTP/9.9"),
+            valid.replace("X-Request-Id: r", "X-Request-Id"),
+            valid.replace("\r\n\r\n", "\r\nContent-Length: 10\r\n\r\nabc"),
+            valid[..40].to_owned(),
+            valid.replace("a\r\n", &format!("a\r\nX-Fill: {}\r\n", "x".repeat(40_000))),
         ] {
             let mut peer = balancer.client();
             let _ = peer.0.write_all(text.as_bytes());
             peers.push((peer, text));
             if peers.len() % 10 == 0 {
-                assert_eq!(proper.ask("order", "x").status(), 200);
+                assert_eq!(valid_client.ask("order", "x").status(), 200);
             }
         }
     }
@@ -152,22 +157,23 @@
     assert!(upstream.requests().iter().all(|(_, request)| request.line.contains("/order")));
 }
 
-/// Guards drains and clients where idle clients fill the descriptors while discovery is down: who is active is served all
-/// the time, and once discovery is back the watch is opened and heard, though the idle keep coming.
+/// Guards drains and active clients where idle clients use up the descriptors while discovery is down: active
+/// clients are served all the time, and once discovery is back the watch is opened and its updates take
+/// effect, though idle clients keep connecting.
 #[test]
 fn idle_clients_do_not_starve_the_watch_or_active_clients_of_descriptors() {
     let (old, new) = (Upstream::start(|_, _| ok("old")), Upstream::start(|_, _| ok("new")));
-    // Bound and not yet listening, it refuses.
-    let down = Socket::new(Domain::IPV4, Type::STREAM, None).expect("a socket");
-    down.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into()).expect("a free port");
-    let address_of_discovery = down.local_addr().expect("bound").as_socket().expect("IPv4");
+    // The socket is bound but not yet listening, so connections are refused.
+    let discovery_socket = Socket::new(Domain::IPV4, Type::STREAM, None).expect("create a socket");
+    discovery_socket.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into()).expect("bind to a free port");
+    let discovery_address = discovery_socket.local_addr().expect("a bound socket").as_socket().expect("IPv4");
     let known = [endpoint("s-1", old.address, 0, "ready")];
-    let mut program =
-        program_with_descriptor_limit(64, &configuration(address_of_discovery, &known, 30.0, 64));
+    let mut program = program_with_descriptor_limit(64, &configuration(discovery_address, &known, 30.0, 64));
     let (address, _log) = address(&mut program);
     let mut idle = std::collections::VecDeque::new();
-    // Brings as many idle clients as there are descriptors, every other one after a request, and tells who serves an
-    // active one then. A connection may be shut unread, and its client comes again.
+    // Connects as many idle clients as there are descriptors, every other one after a request, and returns the body
+    // of the answer that an active client then gets. A connection may be closed before its request is read; the
+    // client then connects again.
     let mut add_idle_clients_and_probe = || {
         for number in 0..64 {
             let mut client = Client::connect(address);
@@ -179,7 +185,7 @@
             idle.push_back(client);
         }
         idle.drain(..idle.len().saturating_sub(128));
-        let answer = wait_for("an answer beside them", || {
+        let answer = wait_for("an answer despite the idle connections", || {
             let mut active = Client::connect(address);
             active.send("order", "x");
             active.answer()
@@ -190,17 +196,17 @@
     for _ in 0..10 {
         assert_eq!(add_idle_clients_and_probe(), b"old");
     }
-    down.listen(8).expect("bound");
-    let discovery = Discovery::on(down.into(), Duration::from_millis(500));
-    let (line, watch) = wait_for("the watch", || {
+    discovery_socket.listen(8).expect("a bound socket");
+    let discovery = Discovery::on(discovery_socket.into(), Duration::from_millis(500));
+    let (line, watch) = wait_for("the balancer to open a watch", || {
         add_idle_clients_and_probe();
         discovery.next_watch()
     });
     assert_eq!(line, "GET /catalog/members?follow=1&since=7 HTTP/1.1");
-    let drained = endpoint("s-1", old.address, 0, "draining");
-    watch.send_update(8, false, &[drained, endpoint("s-2", new.address, 0, "ready")]);
-    wait_for("the list is heard", || (add_idle_clients_and_probe() == b"new").then_some(()));
+    let draining = endpoint("s-1", old.address, 0, "draining");
+    watch.send_update(8, false, &[draining, endpoint("s-2", new.address, 0, "ready")]);
+    wait_for("the updated list to take effect", || (add_idle_clients_and_probe() == b"new").then_some(()));
     assert_eq!(add_idle_clients_and_probe(), b"new");
-    program.kill().expect("it runs");
-    program.wait().expect("ends");
+    program.kill().expect("the program runs");
+    program.wait().expect("the program ends");
 }
--- a/proxy/tests/observability.rs
+++ b/proxy/tests/observability.rs
@@ -1,4 +1,4 @@
-//! What an operator can see of a running balancer: its fetch_metrics and its log.
+//! What an operator can see of a running balancer: its metrics and its log.
 
 mod common;
 
@@ -12,7 +12,7 @@
     configuration_file, endpoint, status,
 };
 
-/// The value of a metric_value, 0 where it has not been counted yet.
+/// The value of a metric, 0 if its line is missing because it has not been counted yet.
 fn metric_value(text: &str, name: &str) -> u64 {
     let line = text.lines().find_map(|line| line.strip_prefix(name));
     line.map_or(0, |value| value.trim().parse().expect("a number"))
@@ -20,16 +20,16 @@
 
 fn fetch_metrics(client: &mut Client) -> String {
     client.raw(b"GET /_metrics HTTP/1.1\r\nHost: balancer\r\n\r\n");
-    let message = client.answer().expect("the fetch_metrics");
+    let message = client.answer().expect("an answer with the metrics");
     assert_eq!(message.status(), 200);
-    String::from_utf8(message.body).expect("text")
+    String::from_utf8(message.body).expect("UTF-8")
 }
 
-/// The lines of a program's log as they come.
+/// The log lines of a program, as they are written.
 struct Log(Receiver<String>);
 
 impl Log {
-    fn of(reader: BufReader<ChildStderr>) -> Self {
+    fn from_stderr(reader: BufReader<ChildStderr>) -> Self {
         let (lines, log) = mpsc::channel();
         thread::spawn(move || {
             for line in reader.lines().map_while(Result::ok) {
@@ -41,11 +41,11 @@
         Self(log)
     }
 
-    /// Reads on until a line holds all of these parts.
+    /// Reads lines until one contains all of these parts.
     fn read_until(&self, parts: &[&str]) {
         loop {
             let line = self.0.recv_timeout(HANG_TIMEOUT);
-            let line = line.unwrap_or_else(|_| panic!("no line with {parts:?}"));
+            let line = line.unwrap_or_else(|_| panic!("no log line contains {parts:?}"));
             if parts.iter().all(|part| line.contains(part)) {
                 return;
             }
@@ -53,18 +53,20 @@
     }
 }
 
-/// A request can be followed by its id: where it went, how that ended, why there was no further attempt; and each step
-/// is counted.
+/// Guards the operator's view of a refused request: the log shows by its id where it was sent, how the
+/// attempt ended and why there was no further one, and the metrics count each step.
 #[test]
 fn a_refused_request_can_be_traced_by_its_id() {
     let upstream = Upstream::start(|_, _| status("503 Service Unavailable\r\nX-Not-Run: 1"));
     let discovery = Discovery::start();
     let known = [endpoint("only", upstream.address, 0, "ready")];
     let file = configuration_file(&configuration(discovery.address, &known, 30.0, 1024));
-    let mut child =
-        command_with_descriptor_limit(1024, &file).env("PROXY_LOG", "debug").spawn().expect("starts");
+    let mut child = command_with_descriptor_limit(1024, &file)
+        .env("PROXY_LOG", "debug")
+        .spawn()
+        .expect("start the program");
     let (address, reader) = common::address(&mut child);
-    let log = Log::of(reader);
+    let log = Log::from_stderr(reader);
     log.read_until(&["asks discovery for a watch", "watch=1"]);
     let (_, watch) = discovery.watch();
     watch.send_update(7, true, &known);
@@ -88,20 +90,22 @@
     assert_eq!(metric_value(&text, "stilelead_attempts_total{outcome=\"Refused\"}"), 1, "{text}");
     assert_eq!(metric_value(&text, "stilelead_list_version"), 7, "{text}");
     assert_eq!(metric_value(&text, "stilelead_members_ready"), 1, "{text}");
-    child.kill().expect("it runs");
-    child.wait().expect("it ends");
-    std::fs::remove_file(file).expect("it is there");
+    child.kill().expect("the program runs");
+    child.wait().expect("the program ends");
+    std::fs::remove_file(file).expect("remove the configuration file");
 }
 
-/// A level that does not exist is said so plainly, and nothing starts.
+/// Guards operators against a misspelt log level: it is reported by name, and the program does not start.
 #[test]
 fn an_unknown_log_level_is_refused() {
     let discovery = Discovery::start();
     let file = configuration_file(&configuration(discovery.address, &[], 30.0, 1024));
-    let output =
-        command_with_descriptor_limit(1024, &file).env("PROXY_LOG", "loud").output().expect("starts");
+    let output = command_with_descriptor_limit(1024, &file)
+        .env("PROXY_LOG", "loud")
+        .output()
+        .expect("start the program");
     assert!(!output.status.success());
-    let said = String::from_utf8(output.stderr).expect("text");
-    assert!(said.contains("PROXY_LOG is invalid: \"loud\""), "{said}");
-    std::fs::remove_file(file).expect("it is there");
+    let stderr = String::from_utf8(output.stderr).expect("UTF-8");
+    assert!(stderr.contains("PROXY_LOG is invalid: \"loud\""), "{stderr}");
+    std::fs::remove_file(file).expect("remove the configuration file");
 }
--- a/proxy/tests/tenants.rs
+++ b/proxy/tests/tenants.rs
@@ -1,4 +1,4 @@
-//! What tenants may count on: the decisions on their limits, seen over sockets.
+//! Tenant limits as clients see them over sockets.
 
 mod common;
 
@@ -9,14 +9,13 @@
 use common::*;
 use serde_json::{Value, json};
 
-/// Takes so long that the machine's own delays are no congestion.
+/// Serves a request in 40 ms, so that delays of the test machine are not taken for congestion.
 fn serve_slowly(_: usize, _: &Message) -> Reply {
     std::thread::sleep(Duration::from_millis(40));
     ok("served")
 }
 
-/// Four upstreams, a balancer with these settings in place of some of the usual ones, and its
-/// discovery.
+/// Starts four upstreams and a balancer whose usual settings are overridden by these, with its discovery.
 fn with_quotas(
     script: impl Fn(usize, &Message) -> Reply + Clone + Send + Sync + 'static,
     settings: &Value,
@@ -27,7 +26,7 @@
         .collect();
     let discovery = Discovery::start();
     let text = configuration(discovery.address, &known, 30.0, 1024);
-    let mut text: Value = serde_json::from_str(&text).expect("sound");
+    let mut text: Value = serde_json::from_str(&text).expect("valid JSON");
     for (name, value) in settings.as_object().expect("an object") {
         text["settings"][name] = value.clone();
     }
@@ -35,16 +34,17 @@
     (upstreams, balancer, discovery)
 }
 
-/// Guards what tenants may count on: with half of the upstreams gone and no congestion on the others, a tenant is not
-/// held to half of its quota.
+/// Guards a tenant's quota: when half of the upstreams are gone and the others are not congested, the tenant
+/// is not limited to half of its quota.
 #[test]
 fn remaining_upstreams_serve_more_than_their_share_of_a_quota() {
     let quotas = json!({"projects": [{"name": "acme", "quotaPerS": 20.0}]});
     let (upstreams, balancer, discovery) = with_quotas(serve_slowly, &quotas);
-    let listed = |number: usize| endpoint(&format!("s-{number}"), upstreams[number].address, 0, "gone");
+    let gone_endpoint =
+        |number: usize| endpoint(&format!("s-{number}"), upstreams[number].address, 0, "gone");
     let (_, watch) = discovery.watch();
-    watch.send_update(8, false, &[listed(0), listed(1)]);
-    // Nothing shows when it has taken effect; if it had not, nothing would be held back either.
+    watch.send_update(8, false, &[gone_endpoint(0), gone_endpoint(1)]);
+    // Nothing shows when the update has taken effect; without it the quota would not be reduced either.
     std::thread::sleep(Duration::from_millis(600));
     let mut client = balancer.client();
     for number in 0..15 {
@@ -52,21 +52,21 @@
     }
 }
 
-/// Guards a tenant whose clients ask again as soon as they are refused: once congestion has cut its limit, the storm
-/// must not keep it from all that it may have, nor its limit from coming back.
+/// Guards a tenant whose clients retry as soon as they are refused: once congestion has reduced its limit,
+/// the retry storm must not keep it from using the whole limit, nor the limit from recovering.
 #[test]
 fn a_retry_storm_does_not_lock_a_tenant_out() {
-    let full = Arc::new(AtomicBool::new(true));
-    let seen = Arc::clone(&full);
-    let script = move |number: usize, message: &Message| match seen.load(Ordering::Relaxed) {
+    let refuse = Arc::new(AtomicBool::new(true));
+    let refusing = Arc::clone(&refuse);
+    let script = move |number: usize, message: &Message| match refusing.load(Ordering::Relaxed) {
         true => status("503 Service Unavailable\r\nX-Not-Run: 1"),
         false => serve_slowly(number, message),
     };
     let projects = json!([{"name": "acme", "quotaPerS": 4.0}, {"name": "bolt", "quotaPerS": 4.0}]);
     let (_upstreams, balancer, _discovery) = with_quotas(script, &json!({"projects": projects}));
     let mut clients: Vec<_> = (0..9).map(|_| balancer.client()).collect();
-    // Some 90 calls a second, eight in nine of one tenant; tells whether any of those was served.
-    let mut round = || {
+    // Sends some 90 calls a second, eight in nine from one tenant; returns whether any of that tenant's was served.
+    let mut send_round = || {
         let next = Instant::now() + Duration::from_millis(100);
         for (number, client) in clients.iter_mut().enumerate() {
             client.send_for_tenant(if number == 0 { "bolt" } else { "acme" }, "read", "x");
@@ -79,8 +79,8 @@
         served
     };
     for _ in 0..40 {
-        assert!(!round(), "the upstreams take nothing");
+        assert!(!send_round(), "the upstreams refuse every request");
     }
-    full.store(false, Ordering::Relaxed);
-    assert!((0..100).any(|_| round()), "none of 800 calls was served");
+    refuse.store(false, Ordering::Relaxed);
+    assert!((0..100).any(|_| send_round()), "none of 800 calls was served");
 }
