--- a/proxy/tests/attempts.rs
+++ b/proxy/tests/attempts.rs
@@ -197,12 +197,12 @@
         let (first, second) = (reset_upstream(), reset_upstream());
         let known = [endpoint("s-1", first.address, 0, "ready"), endpoint("s-2", second.address, 0, "ready")];
         let (balancer, _discovery) = Balancer::with(&known, 30.0);
-        let seen = || first.requests().len() + second.requests().len();
+        let request_count = || first.requests().len() + second.requests().len();
         assert_eq!(balancer.client().ask("order", "one").status(), 502, "{part:.80?}");
-        assert_eq!(seen(), 1, "{part:.80?}: it was sent again");
+        assert_eq!(request_count(), 1, "{part:.80?}: it was sent again");
         let refused = balancer.client().ask("read", "");
         assert_eq!(
-            (refused.status(), seen()),
+            (refused.status(), request_count()),
             (503, 3),
             "{part:.80?}: an idempotent request must be retried"
         );
@@ -253,8 +253,8 @@
     ];
     let (balancer, _discovery) = Balancer::with(&known, 30.0);
     assert_eq!(balancer.client().ask("pay", "one").status(), 502);
-    let seen = [first.requests().len() + same.requests().len(), other.requests().len()];
-    assert!(seen == [2, 0] || seen == [0, 1], "{seen:?}");
+    let requests_by_group = [first.requests().len() + same.requests().len(), other.requests().len()];
+    assert!(requests_by_group == [2, 0] || requests_by_group == [0, 1], "{requests_by_group:?}");
 }
 
 /// Guards against a late answer being read as the answer to the next request on the connection: a time-out
@@ -343,9 +343,9 @@
     });
     let (balancer, _discovery) = Balancer::with(&[endpoint("s-1", upstream.address, 0, "ready")], 30.0);
     let mut client = balancer.client();
-    for served in 1..=4 {
+    for count in 1..=4 {
         assert_eq!(client.ask("order", "one").status(), 200);
-        assert_eq!((upstream.requests().len(), upstream.connections()), (served, served));
+        assert_eq!((upstream.requests().len(), upstream.connections()), (count, count));
     }
 }
 
@@ -480,25 +480,25 @@
     ];
     let discovery = Discovery::start();
     let balancer = Balancer::start(&without_cancel(&discovery, &known));
-    let seen = || upstreams.iter().map(|upstream| upstream.requests().len()).sum::<usize>();
+    let request_count = || upstreams.iter().map(|upstream| upstream.requests().len()).sum::<usize>();
     // A request whose client stays connected is retried on the other upstream.
     let mut staying_client = balancer.client();
     staying_client.send("read", "");
-    wait_for("the first attempt to reach an upstream", || (seen() == 1).then_some(()));
+    wait_for("the first attempt to reach an upstream", || (request_count() == 1).then_some(()));
     fail.send(()).expect("an upstream waits for the signal");
-    wait_for("the second attempt to reach an upstream", || (seen() == 2).then_some(()));
+    wait_for("the second attempt to reach an upstream", || (request_count() == 2).then_some(()));
     fail.send(()).expect("an upstream waits for the signal");
     assert_eq!(staying_client.answer().expect("an answer").status(), 503);
     let mut leaving_client = balancer.client();
     leaving_client.send("read", "");
-    wait_for("the first attempt to reach an upstream", || (seen() == 3).then_some(()));
+    wait_for("the first attempt to reach an upstream", || (request_count() == 3).then_some(()));
     drop(leaving_client);
     balancer.wait_until_caught_up();
     fail.send(()).expect("an upstream waits for the signal");
     // A retry after the failure would reach an upstream before the second of these requests.
     for asked in 4..8 {
         assert_eq!(staying_client.ask("order", "x").status(), 200);
-        assert_eq!(seen(), asked, "it was sent again");
+        assert_eq!(request_count(), asked, "it was sent again");
     }
 }
 
--- a/proxy/tests/clients.rs
+++ b/proxy/tests/clients.rs
@@ -455,8 +455,8 @@
     upstream.wait_closed(2);
 }
 
-/// Guards the capacity of a draining balancer: clients open no new connections then, and take a balancer
-/// without a free one for gone. So requests on the last free connections are refused at once, which keeps
+/// Guards the capacity of a draining balancer: clients open no new connections then, and treat a balancer
+/// without a free connection as gone. So requests on the last free connections are refused at once, which keeps
 /// these connections free, where there are more than a few.
 #[test]
 fn a_drain_keeps_connections_free() {
