--- a/proxy/tests/attempts.rs
+++ b/proxy/tests/attempts.rs
@@ -311,7 +311,7 @@
         upstream.wait_closed(1);
         assert_eq!(upstream.requests().len(), 1);
     }
-    let (listener, filling) = full_listener();
+    let (listener, queued_connections) = full_listener();
     let (balancer, _discovery) =
         Balancer::with(&[endpoint("s-1", listener.local_addr().expect("a bound socket"), 0, "ready")], 50.0);
     let mut client = balancer.client();
@@ -328,7 +328,7 @@
         client.0.set_nonblocking(false).expect("set the socket option");
         open.then_some(client)
     });
-    drop(filling);
+    drop(queued_connections);
     let upstream = Upstream::on(listener, |_, _| ok("served"));
     assert_eq!(staying_client.answer().expect("an answer").status(), 200);
     let bodies: Vec<_> = upstream.requests().into_iter().map(|(_, request)| request.body).collect();
@@ -432,7 +432,7 @@
 /// client that is still connected is sent.
 #[test]
 fn a_late_connection_does_not_carry_the_request_of_a_disconnected_client() {
-    let (listener, filling) = full_listener();
+    let (listener, queued_connections) = full_listener();
     let known = [endpoint("s-1", listener.local_addr().expect("a bound socket"), 0, "ready")];
     let discovery = Discovery::start();
     let balancer = Balancer::start(&without_cancel(&discovery, &known));
@@ -447,7 +447,7 @@
     staying_client.0.set_nonblocking(true).expect("set the socket option");
     assert!(staying_client.0.peek(&mut [0]).is_err_and(|error| error.kind() == ErrorKind::WouldBlock));
     staying_client.0.set_nonblocking(false).expect("set the socket option");
-    drop(filling);
+    drop(queued_connections);
     let upstream = Upstream::on(listener, |_, _| ok("served"));
     assert_eq!(staying_client.answer().expect("an answer").status(), 200);
     let bodies: Vec<_> = upstream.requests().into_iter().map(|(_, request)| request.body).collect();
@@ -608,7 +608,7 @@
             let _ = released.lock().expect("no thread panicked").recv();
             Reply::BytesThenClose(Vec::new())
         });
-        let (listener, filling) = full_listener();
+        let (listener, queued_connections) = full_listener();
         let second = listener.local_addr().expect("a bound socket");
         let discovery = Discovery::start();
         let known = [endpoint("s-1", first.address, 0, "ready")];
@@ -630,7 +630,7 @@
             // The request's deadline and the dial timeout are longer than the client of this test waits.
             assert_eq!(client.answer().expect("an answer").status(), 502);
         }
-        drop(filling);
+        drop(queued_connections);
         let second = Upstream::on(listener, |_, _| ok("served"));
         if !late {
             assert_eq!(client.answer().expect("an answer").status(), 200);
@@ -645,7 +645,7 @@
 /// upstream begins to drain is not sent there, and is served by another upstream.
 #[test]
 fn a_connection_established_after_a_drain_began_carries_no_request() {
-    let (listener, filling) = full_listener();
+    let (listener, queued_connections) = full_listener();
     let draining = listener.local_addr().expect("a bound socket");
     let other = Upstream::start(|_, _| ok("other"));
     let discovery = Discovery::start();
@@ -672,7 +672,7 @@
         .body,
         b"other"
     );
-    drop(filling);
+    drop(queued_connections);
     let drained = Upstream::on(listener, |_, _| ok("drained"));
     assert_eq!(client.ask("read", "").body, b"other");
     assert!(drained.requests().is_empty());
