--- a/proxy/src/in_force.rs
+++ b/proxy/src/active_config.rs
@@ -37,23 +37,23 @@
 
 /// The configuration in force.
 #[derive(Debug)]
-pub struct InForce {
+pub struct ActiveConfig {
     name: String,
     listen: SocketAddr,
     seed: u64,
     discovery: SocketAddr,
-    sockets: usize,
+    max_descriptors: usize,
     names: Names,
     assigned: AssignedPositions,
     settings: Settings,
     connect_timeout: Duration,
 }
 
-impl InForce {
+impl ActiveConfig {
     /// Puts the first configuration in force, at the start of the program.
     #[must_use]
     pub fn start(config: Config) -> Self {
-        let names = config.loaded.names;
+        let names = config.parsed_settings.names;
         let assigned = AssignedPositions {
             classes: names.classes.clone(),
             tenants: names.tenants.clone(),
@@ -65,11 +65,11 @@
             listen: config.listen,
             seed: config.seed,
             discovery: config.discovery,
-            sockets: config.sockets,
+            max_descriptors: config.max_descriptors,
             names,
             assigned,
-            settings: config.loaded.settings,
-            connect_timeout: config.loaded.connect_timeout,
+            settings: config.parsed_settings.settings,
+            connect_timeout: config.parsed_settings.connect_timeout,
         }
     }
 
@@ -85,13 +85,13 @@
         config: Config,
         open_descriptors: usize,
     ) -> Result<(Self, Changes), ReloadError> {
-        let names = config.loaded.names;
+        let names = config.parsed_settings.names;
         let classes = carry_over(NameList::Classes, &self.assigned.classes, &names.classes)?;
         let tenants = carry_over(NameList::Tenants, &self.assigned.tenants, &names.tenants)?;
         let zones = carry_over(NameList::Zones, &self.assigned.zones, &names.zones)?;
         let machine_types =
             carry_over(NameList::MachineTypes, &self.assigned.machine_types, &names.machine_types)?;
-        let new_settings = config.loaded.settings;
+        let new_settings = config.parsed_settings.settings;
         let removed_tenants = vec![Tenant { quota: Some(0.0) }; self.settings.tenants.len()];
         let settings = Settings {
             classes: replace_at(self.settings.classes.clone(), &new_settings.classes, &classes.positions),
@@ -120,17 +120,21 @@
             listen: self.listen,
             seed: self.seed,
             discovery: config.discovery,
-            sockets: if config.sockets > open_descriptors { config.sockets } else { self.sockets },
+            max_descriptors: if config.max_descriptors > open_descriptors {
+                config.max_descriptors
+            } else {
+                self.max_descriptors
+            },
             names,
             assigned,
             settings,
-            connect_timeout: config.loaded.connect_timeout,
+            connect_timeout: config.parsed_settings.connect_timeout,
         };
         let restart_only = [
             ("name", config.name != next.name),
             ("listen", config.listen != next.listen),
             ("seed", config.seed != next.seed),
-            ("limits.sockets", config.sockets != next.sockets),
+            ("limits.sockets", config.max_descriptors != next.max_descriptors),
         ];
         let restart_required =
             restart_only.into_iter().filter(|(_, differs)| *differs).map(|(name, _)| name).collect();
@@ -177,7 +181,7 @@
             ("balancers", u64::from(old.replica_count), u64::from(new.replica_count)),
             ("me", u64::from(old.replica_index), u64::from(new.replica_index)),
             ("tier", old.tier as u64, new.tier as u64),
-            ("limits.sockets", self.sockets as u64, next.sockets as u64),
+            ("limits.sockets", self.max_descriptors as u64, next.max_descriptors as u64),
         ];
         let changed = integers.into_iter().filter(|(_, from, to)| from != to);
         differences.extend(changed.map(|(name, from, to)| Difference::Integer { name, from, to }));
@@ -225,8 +229,8 @@
 
     /// The number of file descriptors that the process may have open.
     #[must_use]
-    pub fn sockets(&self) -> usize {
-        self.sockets
+    pub fn max_descriptors(&self) -> usize {
+        self.max_descriptors
     }
 
     /// The time limit for establishing a connection to an upstream.
@@ -237,13 +241,13 @@
 
     /// The time after which an idle connection to an upstream is closed.
     #[must_use]
-    pub fn keep(&self) -> Duration {
+    pub fn idle_timeout(&self) -> Duration {
         self.settings.capabilities.keepalive_timeout.mul_f64(IDLE_TIMEOUT_SHARE)
     }
 
     /// The longest `Retry-After` that a refused client may be given; `None` if the header is not to be sent.
     #[must_use]
-    pub fn retry_after(&self) -> Option<Duration> {
+    pub fn max_retry_after(&self) -> Option<Duration> {
         self.settings.capabilities.max_retry_after
     }
 
--- a/proxy/src/in_force/tests.rs
+++ b/proxy/src/active_config/tests.rs
@@ -23,7 +23,7 @@
 }
 
 /// Replaces the configuration in force with a changed one; returns the new one and the text about the changes.
-fn replace_with(old: &InForce, change: impl FnOnce(&mut Value)) -> (InForce, String) {
+fn replace_with(old: &ActiveConfig, change: impl FnOnce(&mut Value)) -> (ActiveConfig, String) {
     let mut text = text();
     change(&mut text);
     let (new, changes) = old.replaced_by(config(&text), 100).expect("an accepted replacement");
@@ -33,7 +33,7 @@
 /// Guards against requests in flight being attributed to another class or tenant after a reload.
 #[test]
 fn known_names_keep_their_positions_and_new_ones_are_appended() {
-    let start = InForce::start(config(&text()));
+    let start = ActiveConfig::start(config(&text()));
     let (next, line) = replace_with(&start, |text| {
         let settings = &mut text["settings"];
         settings["lanes"] = json!([lane("order", "at_most_once"), lane("read", "at_most_once")]);
@@ -76,7 +76,7 @@
 
 #[test]
 fn the_text_names_what_has_changed_and_what_requires_a_restart() {
-    let start = InForce::start(config(&text()));
+    let start = ActiveConfig::start(config(&text()));
     assert_eq!(replace_with(&start, |_| {}).1, "nothing has changed");
     let (next, line) = replace_with(&start, |text| {
         text["discovery"] = json!("127.0.0.1:2");
@@ -97,16 +97,16 @@
         "discovery at 127.0.0.1:2, 2 classes added, balancers 12 to 14, limits.sockets 1024 to 2048, caps, prices; \
          requires a restart: listen, seed"
     );
-    assert_eq!((next.sockets(), next.connect_timeout()), (2048, Duration::from_secs(2)));
+    assert_eq!((next.max_descriptors(), next.connect_timeout()), (2048, Duration::from_secs(2)));
     // A limit below the number of descriptors in use is not applied.
     let (next, line) = replace_with(&start, |text| text["limits"]["sockets"] = json!(100));
     assert_eq!(line, "nothing has changed; requires a restart: limits.sockets");
-    assert_eq!(next.sockets(), 1024);
+    assert_eq!(next.max_descriptors(), 1024);
 }
 
 #[test]
 fn the_longest_deadline_counts_accepted_classes_only() {
-    let start = InForce::start(config(&text()));
+    let start = ActiveConfig::start(config(&text()));
     let with_longer_deadline = |text: &mut Value| text["settings"]["lanes"][1]["hardLimitS"] = json!(9.0);
     let (next, _) = replace_with(&start, with_longer_deadline);
     assert_eq!(next.longest_deadline(), Duration::from_secs(9));
@@ -118,19 +118,19 @@
 /// Guards against memory that grows with every reload because each file has new names.
 #[test]
 fn more_names_than_the_limit_are_rejected() {
-    let mut in_force = InForce::start(config(&text()));
+    let mut active_config = ActiveConfig::start(config(&text()));
     for round in 0.. {
         let mut text = text();
         let names = (0..1000).map(|number| json!({"name": format!("t-{round}-{number}")}));
         text["settings"]["projects"] = names.collect();
-        match in_force.replaced_by(config(&text), 0) {
-            Ok((next, _)) => in_force = next,
+        match active_config.replaced_by(config(&text), 0) {
+            Ok((next, _)) => active_config = next,
             Err(error) => {
                 assert_eq!(
                     error.to_string(),
                     "too many different tenants since the start; a restart is required"
                 );
-                assert_eq!(in_force.settings().tenants.len(), 4002);
+                assert_eq!(active_config.settings().tenants.len(), 4002);
                 return;
             }
         }
--- a/proxy/src/config.rs
+++ b/proxy/src/config.rs
@@ -66,7 +66,10 @@
     seed: String,
     #[serde(default)]
     limits: Limits,
-    known: Option<Update>,
+    /// The list of upstreams to start with.
+    #[serde(rename = "known")]
+    initial_list: Option<Update>,
+    /// The settings object, parsed separately.
     settings: Box<RawValue>,
 }
 
@@ -74,13 +77,14 @@
 #[derive(Deserialize)]
 #[serde(default)]
 struct Limits {
-    /// File descriptors, see [`Config::sockets`].
-    sockets: usize,
+    /// The number of file descriptors that the process may have open.
+    #[serde(rename = "sockets")]
+    max_descriptors: usize,
 }
 
 impl Default for Limits {
     fn default() -> Self {
-        Self { sockets: 1024 }
+        Self { max_descriptors: DEFAULT_MAX_DESCRIPTORS }
     }
 }
 
@@ -96,11 +100,11 @@
     /// The seed of the random choices.
     pub seed: u64,
     /// The number of file descriptors that the process may have open.
-    pub sockets: usize,
+    pub max_descriptors: usize,
     /// The list of upstreams to start with, which may be out of date.
-    pub known: Option<Update>,
+    pub initial_list: Option<Update>,
     /// The settings object, parsed.
-    pub loaded: ParsedSettings,
+    pub parsed_settings: ParsedSettings,
 }
 
 impl Config {
@@ -133,13 +137,13 @@
     /// The text is not a valid configuration.
     pub fn parse(text: &str, variable: impl Fn(&str) -> Option<String>) -> Result<Self, ConfigError> {
         let file: ConfigFile = serde_json::from_str(text)?;
-        let loaded = setup::parse_settings(file.settings.get())?;
-        loaded.settings.validate()?;
+        let parsed_settings = setup::parse_settings(file.settings.get())?;
+        parsed_settings.settings.validate()?;
         let listen = variable("PROXY_LISTEN").or(file.listen);
         let discovery = variable("PROXY_DISCOVERY").or(file.discovery);
-        if file.limits.sockets < MIN_SOCKETS {
-            let expected = format!("at least {MIN_SOCKETS}");
-            return Err(invalid_value("limits.sockets", &file.limits.sockets.to_string(), expected));
+        if file.limits.max_descriptors < MIN_DESCRIPTORS {
+            let expected = format!("at least {MIN_DESCRIPTORS}");
+            return Err(invalid_value("limits.sockets", &file.limits.max_descriptors.to_string(), expected));
         }
         Ok(Self {
             name: variable("PROXY_NAME").unwrap_or(file.name),
@@ -152,17 +156,19 @@
                     invalid_value("seed", &file.seed, "a hexadecimal number of at most 64 bits".to_owned())
                 })?
             },
-            sockets: file.limits.sockets,
-            known: file.known,
-            loaded,
+            max_descriptors: file.limits.max_descriptors,
+            initial_list: file.initial_list,
+            parsed_settings,
         })
     }
 }
 
+/// The number of file descriptors that the process may have open if the file does not set `limits.sockets`.
+const DEFAULT_MAX_DESCRIPTORS: usize = 1024;
 /// The largest file accepted. It includes the list of upstreams, so that the limit is that of a discovery message.
 const MAX_FILE_BYTES: u64 = 8 << 20;
 /// With fewer file descriptors than this there would be none left for clients.
-const MIN_SOCKETS: usize = 48;
+const MIN_DESCRIPTORS: usize = 48;
 
 /// Reads the file that `PROXY_CONFIG` names.
 fn read_file() -> Result<String, ConfigError> {
--- a/proxy/src/directory.rs
+++ b/proxy/src/directory.rs
@@ -11,7 +11,7 @@
 
 /// The source of an update of the list.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Origin {
+pub enum UpdateSource {
     /// The list in the configuration, which may be out of date.
     Configuration,
     /// The current watch on discovery.
@@ -22,7 +22,7 @@
 
 /// The result of applying an update to the list.
 #[derive(Debug)]
-pub struct Change {
+pub struct AppliedUpdate {
     /// The update as the decisions read it.
     pub list: DiscoveryUpdate,
     /// Upstreams whose process was restarted: connections to the old process are dead.
@@ -94,7 +94,7 @@
     }
 
     /// Applies an update; `names` are those of the settings in force. Malformed entries are skipped.
-    pub fn apply(&mut self, update: &Update, origin: Origin, names: &Names) -> Change {
+    pub fn apply(&mut self, update: &Update, source: UpdateSource, names: &Names) -> AppliedUpdate {
         let mut updated_ids = FxHashSet::default();
         let mut members = Vec::with_capacity(update.endpoints.len());
         let mut restarted = Vec::new();
@@ -107,17 +107,19 @@
                 None => tracing::warn!(?endpoint, "skipped a malformed entry of the list"),
             }
         }
-        let list = match origin {
-            Origin::Configuration => DiscoveryUpdate::Stale(members),
-            Origin::Watch | Origin::FormerWatch if update.snapshot => DiscoveryUpdate::Full(members),
-            Origin::Watch | Origin::FormerWatch => DiscoveryUpdate::Incremental(members),
+        let list = match source {
+            UpdateSource::Configuration => DiscoveryUpdate::Stale(members),
+            UpdateSource::Watch | UpdateSource::FormerWatch if update.snapshot => {
+                DiscoveryUpdate::Full(members)
+            }
+            UpdateSource::Watch | UpdateSource::FormerWatch => DiscoveryUpdate::Incremental(members),
         };
         if !matches!(list, DiscoveryUpdate::Incremental(_)) {
             self.entries.retain(|id, _| updated_ids.contains(id));
         }
         let entries = &self.entries;
         self.ids.retain(|_, id| entries.contains_key(id));
-        Change { list, restarted }
+        AppliedUpdate { list, restarted }
     }
 
     fn apply_entry(
--- a/proxy/src/directory/tests.rs
+++ b/proxy/src/directory/tests.rs
@@ -16,7 +16,11 @@
     let config = Config::parse(CONFIGURATION, |_| None).expect("a sound configuration");
     let mut directory = Directory::new(Clock::start());
     let apply = |directory: &mut Directory, index, snapshot, endpoints| {
-        directory.apply(&Update { index, snapshot, endpoints }, Origin::Watch, &config.loaded.names);
+        directory.apply(
+            &Update { index, snapshot, endpoints },
+            UpdateSource::Watch,
+            &config.parsed_settings.names,
+        );
     };
     apply(&mut directory, 1, true, vec![endpoint(0, "ready")]);
     let first_id = directory.ids["s-0"];
--- a/proxy/src/discovery.rs
+++ b/proxy/src/discovery.rs
@@ -147,7 +147,7 @@
 
 /// Identifies a watch of one balancer instance; each new watch gets a higher number.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub struct WatchNumber(pub u64);
+pub struct WatchId(pub u64);
 
 /// The parameters of a watch.
 #[derive(Debug, Clone, Copy)]
@@ -156,16 +156,16 @@
     pub address: SocketAddr,
     /// The version of the current list; 0 requests the full list.
     pub since: u64,
-    /// The number of the new watch.
-    pub number: WatchNumber,
+    /// The id of the new watch.
+    pub id: WatchId,
 }
 
 /// The receiver of a watch's updates: the balancer instance that opened it.
 pub trait WatchEvents {
     /// The watch has delivered an update.
-    fn updated(&self, watch: WatchNumber, update: Update);
+    fn updated(&self, watch: WatchId, update: Update);
     /// The watch has ended.
-    fn ended(&self, watch: WatchNumber, reason: &WatchError);
+    fn ended(&self, watch: WatchId, reason: &WatchError);
     /// Counts a descriptor for the watch, even over the limit: without a watch drains would be missed.
     fn reserve_descriptor(&self) -> Permit;
 }
@@ -173,16 +173,16 @@
 /// Opens a watch and reports its updates until it ends, then reports the reason.
 pub async fn watch(events: impl WatchEvents, request: WatchRequest) {
     let Err(error) = run_watch(&events, request).await;
-    events.ended(request.number, &error);
+    events.ended(request.id, &error);
 }
 
 async fn run_watch(
     events: &impl WatchEvents,
     request: WatchRequest,
 ) -> Result<std::convert::Infallible, WatchError> {
-    let WatchRequest { address, since, number } = request;
+    let WatchRequest { address, since, id } = request;
     let requested_at = Instant::now();
-    tracing::info!(watch = number.0, %address, since, "asks discovery for a watch");
+    tracing::info!(watch = id.0, %address, since, "asks discovery for a watch");
     let mut deadline = requested_at + FIRST_MESSAGE_TIMEOUT;
     let target = ConnectTarget { address, timeout: FIRST_MESSAGE_TIMEOUT };
     let mut conn = upstream::connect(events.reserve_descriptor(), target).await?;
@@ -194,7 +194,7 @@
         .await
         .map_err(|_| WatchError::Silent { since_last_message: None })??;
     let (status, after_ms) = (response.status(), requested_at.elapsed().as_millis());
-    tracing::info!(watch = number.0, status = status.as_u16(), after_ms, "discovery answers");
+    tracing::info!(watch = id.0, status = status.as_u16(), after_ms, "discovery answers");
     if response.status() != StatusCode::OK {
         return Err(WatchError::Status(response.status()));
     }
@@ -211,14 +211,14 @@
         splitter.buffer.extend_from_slice(&data);
         let mut got_message = false;
         while let Some(message) = splitter.next_message() {
-            events.updated(number, serde_json::from_slice(&message)?);
+            events.updated(id, serde_json::from_slice(&message)?);
             got_message = true;
         }
         // An empty line is a heartbeat and counts as a message, unless it is inside an incomplete one.
         if got_message || (splitter.buffer.is_empty() && data.contains(&b'\n')) {
             if last_message_at.is_none() && !got_message {
                 // The list has not changed since the requested version; an empty update reports that the watch works.
-                events.updated(number, Update { index: since, snapshot: false, endpoints: Vec::new() });
+                events.updated(id, Update { index: since, snapshot: false, endpoints: Vec::new() });
             }
             let now = Instant::now();
             last_message_at = Some(now);
--- a/proxy/src/driver.rs
+++ b/proxy/src/driver.rs
@@ -20,11 +20,11 @@
 use tokio::task::spawn_local;
 use tokio::time::{Instant, sleep, timeout};
 
+use crate::active_config::ActiveConfig;
 use crate::clock::Clock;
 use crate::config::Config;
-use crate::directory::{Directory, Origin};
-use crate::discovery::{self, Update, WatchError, WatchEvents, WatchNumber};
-use crate::in_force::InForce;
+use crate::directory::{Directory, UpdateSource};
+use crate::discovery::{self, Update, WatchError, WatchEvents, WatchId};
 use crate::metrics::Metrics;
 use crate::permit::Permit;
 use crate::reload::{Changes, ReloadError};
@@ -114,7 +114,7 @@
 /// The state of a running balancer.
 pub struct Driver {
     core: RefCell<Core>,
-    in_force: RefCell<Rc<InForce>>,
+    active_config: RefCell<Rc<ActiveConfig>>,
     /// Notified when another configuration has come into force.
     reconfigured: Notify,
     clock: Clock,
@@ -132,21 +132,21 @@
     /// The settings are invalid.
     pub fn start(mut config: Config) -> Result<Rc<Self>, SettingsError> {
         let clock = Clock::start();
-        let (seed, known) = (config.seed, config.known.take());
-        let in_force = InForce::start(config);
+        let (seed, initial_list) = (config.seed, config.initial_list.take());
+        let active_config = ActiveConfig::start(config);
         let core = Core {
-            balancer: Balancer::new(in_force.settings(), seed)?,
+            balancer: Balancer::new(active_config.settings(), seed)?,
             events: VecDeque::new(),
             requests: FxHashMap::default(),
             client_ids: FxHashSet::default(),
             next_request_id: 0,
             directory: Directory::new(clock),
             idle_connections: FxHashMap::default(),
-            subscription: Subscription::new(in_force.discovery()),
+            subscription: Subscription::new(active_config.discovery()),
         };
         let driver = Rc::new(Self {
             core: RefCell::new(core),
-            in_force: RefCell::new(Rc::new(in_force)),
+            active_config: RefCell::new(Rc::new(active_config)),
             reconfigured: Notify::new(),
             clock,
             metrics: Metrics::new(),
@@ -156,10 +156,10 @@
         // The subscription asks for changes since the configured list, so that list is applied first. If it
         // has no upstream that can serve, the full list is requested: what it lacks may not change for a
         // long time.
-        if let Some(known) = known {
-            let index = known.index;
-            driver.apply_list(&known, Origin::Configuration);
-            let resume_version = if driver.can_serve() { index } else { 0 };
+        if let Some(initial_list) = initial_list {
+            let version = initial_list.index;
+            driver.apply_list(&initial_list, UpdateSource::Configuration);
+            let resume_version = if driver.can_serve() { version } else { 0 };
             driver.core.borrow_mut().subscription.resume_from(resume_version);
         }
         driver.handle(Event::Started);
@@ -167,7 +167,8 @@
         spawn_local(async move {
             loop {
                 // New settings may have a shorter idle timeout.
-                let _ = timeout(sweeper.in_force().keep() / 8, sweeper.reconfigured.notified()).await;
+                let _ = timeout(sweeper.active_config().idle_timeout() / 8, sweeper.reconfigured.notified())
+                    .await;
                 sweeper.close_expired();
             }
         });
@@ -176,8 +177,8 @@
 
     /// The configuration in force.
     #[must_use]
-    pub fn in_force(&self) -> Rc<InForce> {
-        Rc::clone(&self.in_force.borrow())
+    pub fn active_config(&self) -> Rc<ActiveConfig> {
+        Rc::clone(&self.active_config.borrow())
     }
 
     /// The metrics of this process.
@@ -199,10 +200,10 @@
     /// # Errors
     /// It cannot replace the one in force while the program runs.
     pub fn reconfigure(self: &Rc<Self>, config: Config) -> Result<Changes, ReloadError> {
-        let old = self.in_force();
+        let old = self.active_config();
         let (new, changes) = old.replaced_by(config, self.open_sockets.get() + RESERVED_DESCRIPTORS)?;
         let (discovery, settings) = (new.discovery(), new.settings());
-        self.in_force.replace(Rc::new(new));
+        self.active_config.replace(Rc::new(new));
         if settings != old.settings() {
             self.handle(Event::SettingsChanged(Box::new(settings)));
         }
@@ -241,7 +242,7 @@
 
     /// How many connections the budget of descriptors allows.
     fn max_connections(&self) -> usize {
-        self.in_force.borrow().sockets().saturating_sub(RESERVED_DESCRIPTORS)
+        self.active_config.borrow().max_descriptors().saturating_sub(RESERVED_DESCRIPTORS)
     }
 
     /// Permits an upstream connection if the budget allows one; near the limit an idle connection is closed
@@ -269,7 +270,7 @@
     /// Takes the most recently used idle connection to an upstream that is still usable.
     #[must_use]
     pub fn take_idle_connection(&self, upstream: UpstreamId) -> Option<Connection> {
-        let idle_timeout = self.in_force.borrow().keep();
+        let idle_timeout = self.active_config.borrow().idle_timeout();
         let mut core = self.core.borrow_mut();
         let pool = core.idle_connections.get_mut(&upstream)?;
         while let Some(latest) = pool.pop() {
@@ -297,7 +298,7 @@
 
     /// Closes idle upstream connections that have timed out or cannot be used any more.
     fn close_expired(&self) {
-        let idle_timeout = self.in_force.borrow().keep();
+        let idle_timeout = self.active_config.borrow().idle_timeout();
         let mut core = self.core.borrow_mut();
         for pool in core.idle_connections.values_mut() {
             pool.retain(|idle| idle.connection.is_free() && idle.idle_since.elapsed() < idle_timeout);
@@ -433,12 +434,12 @@
     }
 
     /// Applies an update of the list of upstreams and passes it to the decisions.
-    fn apply_list(self: &Rc<Self>, update: &Update, origin: Origin) {
+    fn apply_list(self: &Rc<Self>, update: &Update, source: UpdateSource) {
         let list = {
             let mut core = self.core.borrow_mut();
             let Core { directory, idle_connections, .. } = &mut *core;
-            let change = directory.apply(update, origin, self.in_force.borrow().names());
-            for upstream in change.restarted {
+            let applied = directory.apply(update, source, self.active_config.borrow().names());
+            for upstream in applied.restarted {
                 idle_connections.remove(&upstream);
             }
             // Idle connections to upstreams that are draining, gone or have moved are closed.
@@ -453,13 +454,13 @@
             self.metrics.list_changed(update.index, ready, draining);
             if !update.endpoints.is_empty() || update.snapshot {
                 let (version, whole, entries) = (update.index, update.snapshot, update.endpoints.len());
-                tracing::info!(?origin, version, whole, entries, ready, draining, "list changed");
+                tracing::info!(origin = ?source, version, whole, entries, ready, draining, "list changed");
             }
-            change.list
+            applied.list
         };
-        self.handle(match origin {
-            Origin::Configuration | Origin::Watch => Event::Discovery(list),
-            Origin::FormerWatch => Event::FormerDiscovery(list),
+        self.handle(match source {
+            UpdateSource::Configuration | UpdateSource::Watch => Event::Discovery(list),
+            UpdateSource::FormerWatch => Event::FormerDiscovery(list),
         });
     }
 
@@ -615,12 +616,12 @@
 }
 
 impl WatchEvents for Rc<Driver> {
-    fn updated(&self, watch: WatchNumber, update: Update) {
+    fn updated(&self, watch: WatchId, update: Update) {
         let current = self.core.borrow_mut().subscription.record_update(watch, update.index);
-        self.apply_list(&update, if current { Origin::Watch } else { Origin::FormerWatch });
+        self.apply_list(&update, if current { UpdateSource::Watch } else { UpdateSource::FormerWatch });
     }
 
-    fn ended(&self, watch: WatchNumber, reason: &WatchError) {
+    fn ended(&self, watch: WatchId, reason: &WatchError) {
         if !self.core.borrow_mut().subscription.record_end(watch) {
             return;
         }
--- a/proxy/src/driver/tests.rs
+++ b/proxy/src/driver/tests.rs
@@ -9,13 +9,13 @@
 
 impl Driver {
     /// The id of a listed upstream.
-    pub(crate) fn number_of(&self, name: &str) -> UpstreamId {
+    pub(crate) fn upstream_id(&self, name: &str) -> UpstreamId {
         self.core.borrow().directory.id_of(name).expect("listed")
     }
 
-    /// Applies an update as if it came from the watch with this number.
-    pub(crate) fn apply_update(self: &Rc<Self>, number: u64, update: Update) {
-        self.updated(WatchNumber(number), update);
+    /// Applies an update as if it came from the watch with this id.
+    pub(crate) fn apply_update(self: &Rc<Self>, watch_id: u64, update: Update) {
+        self.updated(WatchId(watch_id), update);
     }
 }
 
@@ -98,7 +98,7 @@
                 .replace(r#""rules": {"#, rules);
             let driver = Driver::start(Config::parse(&text, |_| None).expect("a valid configuration"))
                 .expect("starts");
-            let calls = || driver.core.borrow().subscription.number();
+            let calls = || driver.core.borrow().subscription.newest_watch_id();
             let (start, mut last_call, mut longest_gap) = (Instant::now(), Instant::now(), Duration::ZERO);
             let mut seen_calls = calls();
             while start.elapsed() < Duration::from_secs(300) {
--- a/proxy/src/lib.rs
+++ b/proxy/src/lib.rs
@@ -4,13 +4,13 @@
 //! It runs on a single thread: [`driver::Driver`] owns the state in a `RefCell` that is never borrowed across
 //! an await.
 
+pub mod active_config;
 pub mod clock;
 pub mod config;
 pub mod directory;
 pub mod discovery;
 pub mod driver;
 pub mod framing;
-pub mod in_force;
 pub mod logging;
 pub mod metrics;
 pub mod permit;
--- a/proxy/src/metrics.rs
+++ b/proxy/src/metrics.rs
@@ -14,7 +14,7 @@
 
 /// How a client's request was answered.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, EncodeLabelValue)]
-pub enum Answer {
+pub enum AnswerKind {
     /// With an upstream's answer.
     Served,
     /// Refused without being executed; the client may safely retry.
@@ -27,7 +27,7 @@
 
 /// Why a request was ended unserved.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, EncodeLabelValue)]
-pub enum Reason {
+pub enum UnservedCause {
     /// The rate limits did not admit it.
     Suppressed,
     /// No upstream could be sent to.
@@ -40,7 +40,7 @@
     ShuttingDown,
 }
 
-impl From<UnservedReason> for Reason {
+impl From<UnservedReason> for UnservedCause {
     fn from(reason: UnservedReason) -> Self {
         match reason {
             UnservedReason::Suppressed => Self::Suppressed,
@@ -81,7 +81,7 @@
 
 /// Why a client's connection was closed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, EncodeLabelValue)]
-pub enum Close {
+pub enum CloseReason {
     /// The client closed it, or an answer announced the close.
     Served,
     /// No complete request head arrived in time.
@@ -112,14 +112,14 @@
 /// To what extent the list of upstreams is trusted.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, EncodeLabelValue)]
 #[expect(missing_docs, reason = "the variants of `TrustLevel`")]
-pub enum Trust {
+pub enum ListTrust {
     Confirmed,
     Held,
     Proved,
     Expired,
 }
 
-impl From<TrustLevel> for Trust {
+impl From<TrustLevel> for ListTrust {
     fn from(level: TrustLevel) -> Self {
         match level {
             TrustLevel::Confirmed => Self::Confirmed,
@@ -140,12 +140,12 @@
 }
 
 labels! {
-    AnswerLabel { answer: Answer }
-    ReasonLabel { reason: Reason }
+    AnswerLabel { answer: AnswerKind }
+    UnservedLabel { reason: UnservedCause }
     OutcomeLabel { outcome: AttemptOutcome }
-    CloseLabel { reason: Close }
+    CloseLabel { reason: CloseReason }
     WatchEndLabel { reason: WatchEnd }
-    TrustLabel { level: Trust }
+    TrustLabel { level: ListTrust }
 }
 
 /// The metrics of one process.
@@ -153,7 +153,7 @@
 pub struct Metrics {
     registry: Registry,
     requests: Family<AnswerLabel, Counter>,
-    unserved: Family<ReasonLabel, Counter>,
+    unserved: Family<UnservedLabel, Counter>,
     abandoned: Counter,
     attempts: Family<OutcomeLabel, Counter>,
     further_attempts: Counter,
@@ -234,13 +234,13 @@
     }
 
     /// Counts a request that was answered.
-    pub fn request_answered(&self, answer: Answer) {
+    pub fn request_answered(&self, answer: AnswerKind) {
         self.requests.get_or_create(&AnswerLabel { answer }).inc();
     }
 
     /// Counts a request that was ended unserved.
-    pub fn request_unserved(&self, reason: Reason) {
-        self.unserved.get_or_create(&ReasonLabel { reason }).inc();
+    pub fn request_unserved(&self, reason: UnservedCause) {
+        self.unserved.get_or_create(&UnservedLabel { reason }).inc();
     }
 
     /// Counts a request whose client disconnected, or whose deadline passed, before it was ended.
@@ -266,7 +266,7 @@
     }
 
     /// Counts a client connection that was closed.
-    pub fn connection_closed(&self, reason: Close) {
+    pub fn connection_closed(&self, reason: CloseReason) {
         self.closed.get_or_create(&CloseLabel { reason }).inc();
     }
 
--- a/proxy/src/server.rs
+++ b/proxy/src/server.rs
@@ -31,11 +31,11 @@
 use tokio::task::spawn_local;
 use tokio::time::{Instant, sleep, sleep_until, timeout_at};
 
+use crate::active_config::ActiveConfig;
 use crate::config::{Config, ConfigError};
 use crate::driver::{Answer, ClientRequest, Driver};
 use crate::framing::{AmbiguousLength, InspectedStream, PendingInput};
-use crate::in_force::InForce;
-use crate::metrics::{self, Close, Reason};
+use crate::metrics::{self, CloseReason, UnservedCause};
 use crate::reload;
 use crate::upstream::{ForwardedRequest, MAX_BODY_BYTES, read_body};
 
@@ -272,7 +272,7 @@
         draining: Cell::new(false),
     });
     accept_until(&listener, &clients, stop).await;
-    let longest_deadline = clients.driver.in_force().longest_deadline();
+    let longest_deadline = clients.driver.active_config().longest_deadline();
     let drain_time = (longest_deadline.min(MAX_COUNTED_DEADLINE) + KILL_GRACE).saturating_sub(KILL_MARGIN);
     let drain_deadline = Instant::now() + drain_time;
     clients.driver.set_shutdown_deadline(drain_deadline);
@@ -362,22 +362,22 @@
     let close_reason = async {
         tokio::select! {
             // An error means that the program is ending.
-            _ = phases.wait_for(|&phase| phase != Phase::Serving) => Close::ShuttingDown,
+            _ = phases.wait_for(|&phase| phase != Phase::Serving) => CloseReason::ShuttingDown,
             // Its socket is needed now. It has been idle for long, so its last answer has arrived.
             () = connection.close_requested.notified() => {
                 connection.finished.set(true);
-                Close::Evicted
+                CloseReason::Evicted
             }
         }
     };
     let reason = tokio::select! {
         biased;
         _ = http_connection.as_mut() => {
-            clients.driver.metrics().connection_closed(Close::Served);
+            clients.driver.metrics().connection_closed(CloseReason::Served);
             return linger(&stream, connection).await;
         }
         reason = close_reason => reason,
-        () = wait_until_expired(connection) => Close::Idle,
+        () = wait_until_expired(connection) => CloseReason::Idle,
     };
     clients.driver.metrics().connection_closed(reason);
     tracing::debug!(?reason, used = connection.used.get(), "closing client connection");
@@ -546,14 +546,18 @@
         // There is no socket for an attempt, or too few connections would stay free; nothing has been
         // executed.
         if driver.over_socket_budget() || clients.lacks_free_connections() {
-            let reason = if driver.over_socket_budget() { Reason::Descriptors } else { Reason::ShuttingDown };
+            let reason = if driver.over_socket_budget() {
+                UnservedCause::Descriptors
+            } else {
+                UnservedCause::ShuttingDown
+            };
             driver.metrics().request_unserved(reason);
             tracing::debug!(
                 id = %request.forwarded.request_id.as_bytes().escape_ascii(),
                 ?reason,
                 "request refused"
             );
-            return Ok(Answer::Refused { retry_after: driver.in_force().retry_after() });
+            return Ok(Answer::Refused { retry_after: driver.active_config().max_retry_after() });
         }
         await_answer(clients, request, input.client_disconnected(stream)).await.ok_or(BadRequest::DuplicateId)
     };
@@ -563,7 +567,7 @@
             (client_response(answer), chunked)
         }
         Err(error) => {
-            driver.metrics().request_answered(metrics::Answer::Malformed);
+            driver.metrics().request_answered(metrics::AnswerKind::Malformed);
             tracing::debug!(%error, "request rejected");
             (text_response(error.status(), error.to_string()), chunked || error.closes_connection())
         }
@@ -574,11 +578,11 @@
     response
 }
 
-fn answer_label(answer: &Answer) -> metrics::Answer {
+fn answer_label(answer: &Answer) -> metrics::AnswerKind {
     match answer {
-        Answer::Served(_) => metrics::Answer::Served,
-        Answer::Refused { .. } => metrics::Answer::Refused,
-        Answer::Failed => metrics::Answer::Failed,
+        Answer::Served(_) => metrics::AnswerKind::Served,
+        Answer::Refused { .. } => metrics::AnswerKind::Refused,
+        Answer::Failed => metrics::AnswerKind::Failed,
     }
 }
 
@@ -665,11 +669,11 @@
 
 /// Finds a request's class, tenant and time limit by the settings in force, and checks that its method and
 /// headers fit the class.
-fn classify(in_force: &InForce, head: &Parts) -> Result<Classification, BadRequest> {
-    let names = in_force.names();
+fn classify(active_config: &ActiveConfig, head: &Parts) -> Result<Classification, BadRequest> {
+    let names = active_config.names();
     let class = head.uri.path().trim_start_matches('/').split('/').next().unwrap_or_default();
     let class = ClassId(*names.classes.get(class).ok_or(BadRequest::UnknownClass)?);
-    let class_settings = in_force.class(class).ok_or(BadRequest::UnknownClass)?;
+    let class_settings = active_config.class(class).ok_or(BadRequest::UnknownClass)?;
     match class_settings.idempotency {
         Idempotency::Idempotent if head.method != Method::GET => return Err(BadRequest::WrongMethod),
         Idempotency::Deduplicated { .. } if non_empty_header(&head.headers, IDEMPOTENCY_KEY).is_none() => {
@@ -700,8 +704,8 @@
     body_deadline: Instant,
 ) -> Result<ClientRequest, BadRequest> {
     let (head, body) = request.into_parts();
-    let initial_in_force = driver.in_force();
-    let mut classification = classify(&initial_in_force, &head)?;
+    let initial_config = driver.active_config();
+    let mut classification = classify(&initial_config, &head)?;
     let request_id = non_empty_header(&head.headers, "x-request-id").ok_or(BadRequest::MissingId)?;
     if body.size_hint().lower() > MAX_BODY_BYTES as u64 {
         return Err(BadRequest::TooLarge);
@@ -714,9 +718,9 @@
     };
     // Settings that took effect while the body arrived apply to it: a request must not pass without an
     // idempotency key that its class now requires.
-    let in_force = driver.in_force();
-    if !Rc::ptr_eq(&initial_in_force, &in_force) {
-        classification = self::classify(&in_force, &head)?;
+    let active_config = driver.active_config();
+    if !Rc::ptr_eq(&initial_config, &active_config) {
+        classification = self::classify(&active_config, &head)?;
     }
     let now = Instant::now();
     let cost_hint_us = header_text(&head.headers, "x-cost-hint").and_then(|value| value.trim().parse().ok());
--- a/proxy/src/subscription.rs
+++ b/proxy/src/subscription.rs
@@ -4,7 +4,7 @@
 
 use tokio::task::AbortHandle;
 
-use crate::discovery::{WatchNumber, WatchRequest};
+use crate::discovery::{WatchId, WatchRequest};
 
 /// The subscription of one balancer instance to discovery: the current watch, and the previous one while it is being
 /// replaced.
@@ -14,8 +14,7 @@
     address: SocketAddr,
     /// The version of the current list; 0 requests the full list.
     version: u64,
-    /// The number of the newest watch.
-    number: WatchNumber,
+    newest_watch_id: WatchId,
     watch: Option<AbortHandle>,
     /// The watch that is being replaced; it stays open until the new one delivers an update.
     previous_watch: Option<AbortHandle>,
@@ -25,13 +24,13 @@
     /// Starts without a watch; the first one will request the full list from `address`.
     #[must_use]
     pub fn new(address: SocketAddr) -> Self {
-        Self { address, version: 0, number: WatchNumber(0), watch: None, previous_watch: None }
+        Self { address, version: 0, newest_watch_id: WatchId(0), watch: None, previous_watch: None }
     }
 
-    /// The number of the newest watch.
+    /// The id of the newest watch.
     #[must_use]
-    pub fn number(&self) -> WatchNumber {
-        self.number
+    pub fn newest_watch_id(&self) -> WatchId {
+        self.newest_watch_id
     }
 
     /// The next watch will request the changes after this version.
@@ -44,8 +43,8 @@
         if let Some(watch) = self.watch.take() {
             watch.abort();
         }
-        self.number.0 += 1;
-        let request = WatchRequest { address: self.address, since: self.version, number: self.number };
+        self.newest_watch_id.0 += 1;
+        let request = WatchRequest { address: self.address, since: self.version, id: self.newest_watch_id };
         self.watch = Some(start(request));
     }
 
@@ -75,21 +74,21 @@
     }
 
     /// Records that a watch delivered an update to this version; returns `false` if a newer watch has been started.
-    pub fn record_update(&mut self, number: WatchNumber, version: u64) -> bool {
+    pub fn record_update(&mut self, id: WatchId, version: u64) -> bool {
         // The version of an older watch is ignored: discovery at its previous address may be ahead of the new one, and
         // the changes in between would then never be requested.
-        if number == self.number {
+        if id == self.newest_watch_id {
             self.version = version;
             if let Some(previous) = self.previous_watch.take() {
                 previous.abort();
             }
         }
-        number == self.number
+        id == self.newest_watch_id
     }
 
     /// Records that a watch has ended; returns `false` if a newer watch has been started.
-    pub fn record_end(&mut self, number: WatchNumber) -> bool {
-        if number != self.number {
+    pub fn record_end(&mut self, id: WatchId) -> bool {
+        if id != self.newest_watch_id {
             return false;
         }
         self.watch = None;
--- a/proxy/src/upstream.rs
+++ b/proxy/src/upstream.rs
@@ -416,7 +416,7 @@
                 let time_to_start = spec.latest_start.saturating_duration_since(Instant::now());
                 let target = ConnectTarget {
                     address: spec.address,
-                    timeout: driver.in_force().connect_timeout().min(time_to_start),
+                    timeout: driver.active_config().connect_timeout().min(time_to_start),
                 };
                 // A lack of sockets is not the upstream's failure.
                 let Some(permit) = driver.try_permit() else { return (Outcome::NotSent.into(), None) };
@@ -502,13 +502,13 @@
 
 /// Parses `name=value,name=value`; fields that the settings do not name are ignored.
 fn parse_load_report(driver: &Driver, value: &HeaderValue) -> Option<LoadReport> {
-    let in_force = driver.in_force();
+    let active_config = driver.active_config();
     let mut report = LoadReport::default();
     for part in value.to_str().ok()?.split(',') {
         let (name, value) = part.split_once('=')?;
         let name = name.trim();
         let value: f64 = value.trim().parse().ok().filter(|value: &f64| value.is_finite())?;
-        if in_force.names().load_fields.iter().any(|field| field == name) {
+        if active_config.names().load_fields.iter().any(|field| field == name) {
             setup::set_load_field(&mut report, name, value);
         }
     }
--- a/proxy/src/upstream/tests.rs
+++ b/proxy/src/upstream/tests.rs
@@ -127,7 +127,7 @@
     let spec = AttemptSpec {
         request: RequestId(1),
         attempt: AttemptNumber(0),
-        upstream: driver.number_of("s-1"),
+        upstream: driver.upstream_id("s-1"),
         address,
         forwarded: Rc::new(forwarded(Method::GET, b"")),
         requested_at,
--- a/scale/src/hollow/balancer.rs
+++ b/scale/src/hollow/balancer.rs
@@ -5,11 +5,11 @@
 use std::rc::Rc;
 
 use rustc_hash::FxHashMap;
+use stilelead::active_config::ActiveConfig;
 use stilelead::clock::Clock;
 use stilelead::config::Config;
-use stilelead::directory::{Change, Directory, Origin};
+use stilelead::directory::{AppliedUpdate, Directory, UpdateSource};
 use stilelead::discovery::Update;
-use stilelead::in_force::InForce;
 use stilelead::subscription::Subscription;
 use stilelead_decision::Balancer;
 use stilelead_decision::interface::{AttemptNumber, ClassId, RequestId, SettingsError, TenantId, UpstreamId};
@@ -49,7 +49,7 @@
     /// Idle connections to nodes.
     pub idle_connections: IdleConnections,
     /// The configuration in force.
-    pub in_force: InForce,
+    pub in_force: ActiveConfig,
     /// Number of descriptors that the watches use.
     pub watch_descriptors: Rc<Cell<usize>>,
     /// Node indices of the listed upstreams.
@@ -68,8 +68,8 @@
         region: RegionId,
         generation: u64,
     ) -> Result<Self, SettingsError> {
-        let (seed, initial_list) = (config.seed, config.known.take());
-        let in_force = InForce::start(config);
+        let (seed, initial_list) = (config.seed, config.initial_list.take());
+        let in_force = ActiveConfig::start(config);
         // A restarted process draws different random numbers.
         let decisions = Balancer::new(in_force.settings(), seed.wrapping_add(generation))?;
         Ok(Self {
@@ -94,9 +94,9 @@
     pub fn apply_list(
         &mut self,
         update: &Update,
-        origin: Origin,
+        origin: UpdateSource,
         node_indices: &FxHashMap<String, usize>,
-    ) -> Change {
+    ) -> AppliedUpdate {
         let change = self.directory.apply(update, origin, self.in_force.names());
         for endpoint in &update.endpoints {
             if let Some(upstream) = self.directory.id_of(&endpoint.name)
--- a/scale/src/hollow/host.rs
+++ b/scale/src/hollow/host.rs
@@ -146,7 +146,7 @@
     fn start_balancers(&mut self) -> Result<(), HollowError> {
         for number in 0..self.plan.hollow_count() {
             let balancer = self.new_balancer(number, 0)?;
-            let first_sweep_at = self.now + balancer.in_force.keep() / SWEEPS_PER_IDLE_TIMEOUT;
+            let first_sweep_at = self.now + balancer.in_force.idle_timeout() / SWEEPS_PER_IDLE_TIMEOUT;
             self.balancers.push(balancer);
             self.schedule.add(first_sweep_at, TimedEvent::SweepIdleConnections { balancer: number });
             self.start_decisions(number);
--- a/scale/src/hollow/host/attempts.rs
+++ b/scale/src/hollow/host/attempts.rs
@@ -238,7 +238,7 @@
 
     /// Closes a balancer's connections that have been idle for too long and schedules the next check.
     pub(super) fn sweep_idle_connections(&mut self, balancer: usize) {
-        let idle_timeout = self.balancers[balancer].in_force.keep();
+        let idle_timeout = self.balancers[balancer].in_force.idle_timeout();
         if let Some(idle_since) = self.now.checked_sub(idle_timeout) {
             let expired = self.balancers[balancer].idle_connections.drain_idle_since(idle_since);
             self.close_connections(expired);
--- a/scale/src/hollow/host/lists.rs
+++ b/scale/src/hollow/host/lists.rs
@@ -4,8 +4,8 @@
 use std::rc::{Rc, Weak};
 use std::time::Instant;
 
-use stilelead::directory::{Change, Origin};
-use stilelead::discovery::{self, Update, WatchError, WatchEvents, WatchNumber};
+use stilelead::directory::{AppliedUpdate, UpdateSource};
+use stilelead::discovery::{self, Update, WatchError, WatchEvents, WatchId};
 use stilelead::permit::Permit;
 use stilelead_decision::Event;
 use stilelead_decision::interface::DiscoveryUpdate;
@@ -22,13 +22,13 @@
 }
 
 impl WatchEvents for BalancerWatch {
-    fn updated(&self, watch: WatchNumber, update: Update) {
+    fn updated(&self, watch: WatchId, update: Update) {
         if let Some(host) = self.host.upgrade() {
             host.borrow_mut().list_received(self.balancer, watch, &update);
         }
     }
 
-    fn ended(&self, watch: WatchNumber, reason: &WatchError) {
+    fn ended(&self, watch: WatchId, reason: &WatchError) {
         if let Some(host) = self.host.upgrade() {
             host.borrow_mut().watch_ended(self.balancer, watch, reason);
         }
@@ -43,7 +43,7 @@
     /// Applies the list from a new balancer's configuration and starts its decisions.
     pub(super) fn start_decisions(&mut self, balancer: usize) {
         if let Some(initial_list) = self.balancers[balancer].initial_list.take() {
-            let change = self.apply_list(balancer, &initial_list, Origin::Configuration);
+            let change = self.apply_list(balancer, &initial_list, UpdateSource::Configuration);
             self.decide(balancer, Event::Discovery(change));
             let state = &mut self.balancers[balancer];
             state.list_version = initial_list.index;
@@ -76,11 +76,11 @@
             .renew(|request| spawn_local(discovery::watch(events, request)).abort_handle());
     }
 
-    fn list_received(&mut self, balancer: usize, watch: WatchNumber, update: &Update) {
+    fn list_received(&mut self, balancer: usize, watch: WatchId, update: &Update) {
         let received_at = Instant::now();
         self.catch_up();
         self.balancers[balancer].subscription.record_update(watch, update.index);
-        let list = self.apply_list(balancer, update, Origin::Watch);
+        let list = self.apply_list(balancer, update, UpdateSource::Watch);
         self.decide(balancer, Event::Discovery(list));
         let in_force_at = Instant::now();
         self.record_list_delays(balancer, update.index, received_at, in_force_at);
@@ -90,9 +90,9 @@
 
     /// Applies an update of the list and closes idle connections to upstreams that were restarted or no
     /// longer take requests.
-    fn apply_list(&mut self, balancer: usize, update: &Update, origin: Origin) -> DiscoveryUpdate {
+    fn apply_list(&mut self, balancer: usize, update: &Update, origin: UpdateSource) -> DiscoveryUpdate {
         let state = &mut self.balancers[balancer];
-        let Change { list, restarted } = state.apply_list(update, origin, &self.node_indices);
+        let AppliedUpdate { list, restarted } = state.apply_list(update, origin, &self.node_indices);
         let directory = &state.directory;
         let keep = |upstream| directory.ready_address(upstream).is_some() && !restarted.contains(&upstream);
         let removed = state.idle_connections.drain_except(keep);
@@ -136,7 +136,7 @@
         self.progress.watching_changed(was_watching, watching);
     }
 
-    fn watch_ended(&mut self, balancer: usize, watch: WatchNumber, reason: &WatchError) {
+    fn watch_ended(&mut self, balancer: usize, watch: WatchId, reason: &WatchError) {
         self.catch_up();
         if !self.balancers[balancer].subscription.record_end(watch) {
             return;
--- a/scale/src/hollow/host/settings.rs
+++ b/scale/src/hollow/host/settings.rs
@@ -20,7 +20,7 @@
         let balancer = &topology.balancers[number];
         let config = match self.reloaded_configurations.get(&number) {
             Some(text) => Config::parse(text, |_| None)
-                .map(|config| Config { known: Some(self.control.list(balancer.target)), ..config }),
+                .map(|config| Config { initial_list: Some(self.control.list(balancer.target)), ..config }),
             None => Config::parse(&self.plan.configuration(BalancerId(number), &self.control), |_| None),
         };
         let config = config.map_err(error)?;
--- a/scale/src/hollow/tests.rs
+++ b/scale/src/hollow/tests.rs
@@ -289,6 +289,6 @@
     let text = configuration(&test, BalancerId(4), SettingsChange::AddClass);
     let text_without_list = plan::without_list(&text).expect("the text parses");
     let config = Config::parse(&text_without_list, |_| None).expect("the configuration is valid");
-    assert!(config.known.is_none());
-    assert!(config.loaded.names.classes.contains_key(settings::CLASS_EXTRA));
+    assert!(config.initial_list.is_none());
+    assert!(config.parsed_settings.names.classes.contains_key(settings::CLASS_EXTRA));
 }
--- a/scale/src/process/settings/tests.rs
+++ b/scale/src/process/settings/tests.rs
@@ -83,9 +83,12 @@
         let balancer = &topology.balancers[id.0];
         let config = parse_configuration(&scenario, id, None).expect("a valid configuration");
         assert_eq!(config.name, balancer.name);
-        assert_eq!((config.listen, config.discovery, config.sockets), (loopback(8081), loopback(8500), 1024));
-        assert_eq!(config.known.expect("an initial list").endpoints[0].name, "n-00001");
-        let settings = config.loaded.settings;
+        assert_eq!(
+            (config.listen, config.discovery, config.max_descriptors),
+            (loopback(8081), loopback(8500), 1024)
+        );
+        assert_eq!(config.initial_list.expect("an initial list").endpoints[0].name, "n-00001");
+        let settings = config.parsed_settings.settings;
         assert_eq!(settings.replica_index, balancer.index);
         assert_eq!(settings.replica_count as usize, topology.services[balancer.target.0].balancers.len());
         assert_eq!((settings.zone.0, settings.zone_count), (balancer.zone.0 as usize, 4));
@@ -98,13 +101,13 @@
 #[test]
 fn classes_have_the_names_that_clients_send() {
     let config = parse_configuration(&scenario(), BalancerId(0), None).expect("a valid configuration");
-    let classes = &config.loaded.names.classes;
-    let settings = &config.loaded.settings;
+    let classes = &config.parsed_settings.names.classes;
+    let settings = &config.parsed_settings.settings;
     assert_eq!(settings.classes[classes[CLASS_READ]].idempotency, Idempotency::Idempotent);
     assert_eq!(settings.classes[classes[CLASS_ORDER]].idempotency, Idempotency::NonIdempotent);
     assert_eq!(settings.classes[0].latency_target, Duration::from_millis(1500));
     assert_eq!(settings.classes[0].deadline, Duration::from_secs(3));
-    assert_eq!(config.loaded.names.load_fields, ["active", "waiting", "cpu", "avg_ms"]);
+    assert_eq!(config.parsed_settings.names.load_fields, ["active", "waiting", "cpu", "avg_ms"]);
 }
 
 #[test]
@@ -121,10 +124,10 @@
     let scenario = scenario();
     for id in one_of_each_kind(&Topology::of(&scenario.fleet)) {
         let changed = |change| parse_configuration(&scenario, id, Some(change));
-        let before = parse_configuration(&scenario, id, None).expect("a valid configuration").loaded;
-        let added = changed(SettingsChange::AddClass).expect("a valid configuration").loaded;
+        let before = parse_configuration(&scenario, id, None).expect("a valid configuration").parsed_settings;
+        let added = changed(SettingsChange::AddClass).expect("a valid configuration").parsed_settings;
         assert_eq!(added.names.classes[CLASS_EXTRA], before.settings.classes.len());
-        let doubled = changed(SettingsChange::Copies).expect("a valid configuration").loaded;
+        let doubled = changed(SettingsChange::Copies).expect("a valid configuration").parsed_settings;
         assert_eq!(doubled.settings.replica_count, before.settings.replica_count * 2);
         let refused = changed(SettingsChange::Malformed);
         assert!(matches!(refused, Err(ConfigError::Json(_))), "{refused:?}");
