--- a/proxy/src/active_config.rs
+++ b/proxy/src/active_config.rs
@@ -1,4 +1,5 @@
-//! The configuration in force, and its replacement by a new one while the program runs.
+//! The active configuration, that is the one in force, and its replacement by a new one while the program
+//! runs.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -11,41 +12,55 @@
 use crate::config::Config;
 use crate::reload::{Changes, Difference, NameList, ReloadError};
 
-/// The share of the configured keep-alive time after which an idle connection is closed. The balancer closes first,
-/// because a request written to a connection that the upstream is just closing ends with a reset.
+/// The share of the configured keep-alive time after which an idle connection is closed. The balancer closes
+/// first, because a request written to a connection that the upstream is just closing ends with a reset.
 const IDLE_TIMEOUT_SHARE: f64 = 0.7;
-/// The most names that one list may have had since the start, including those no longer in use: each holds memory
-/// until the program ends.
+/// The most names that one list may have had since the start, including those no longer in use: each holds
+/// memory until the program ends.
 const MAX_NAMES: usize = 4096;
 
-/// The upper limit of the poll interval that is passed on from the settings. Over HTTP, a change counts as delivered 6 s
-/// after discovery can be reached, whatever call failed. With an interval of 10 s the decisions leave 4 s between calls,
-/// and the response takes time too.
+/// The upper limit of the poll interval that is passed on from the settings. Over HTTP, a change counts as
+/// delivered 6 s after discovery can be reached, whatever call failed. With an interval of 10 s the decisions
+/// leave 4 s between calls, and the response takes time too.
 const MAX_POLL_INTERVAL: Duration = Duration::from_secs(10);
 
 /// The position of each name in a list of the settings.
 type Positions = FxHashMap<String, usize>;
 
-/// All positions assigned since the start. A name keeps its position, because requests in flight refer to it.
+/// The positions assigned to names since the start of the program. A name keeps its position, because
+/// requests in flight refer to it.
 #[derive(Debug, Clone)]
 struct AssignedPositions {
+    /// Positions of request classes.
     classes: Positions,
+    /// Positions of tenants.
     tenants: Positions,
+    /// Positions of zones.
     zones: Positions,
+    /// Positions of machine types.
     machine_types: Positions,
 }
 
-/// The configuration in force.
+/// The configuration that the balancer currently uses.
 #[derive(Debug)]
 pub struct ActiveConfig {
+    /// The name of this balancer instance; only a restart changes it.
     name: String,
+    /// The address that clients connect to; only a restart changes it.
     listen: SocketAddr,
+    /// The seed of the random choices; only a restart changes it.
     seed: u64,
+    /// The address of discovery.
     discovery: SocketAddr,
+    /// The number of file descriptors that the process may have open.
     max_descriptors: usize,
+    /// The names that the settings accept, with their positions.
     names: Names,
+    /// The positions of all names since the start, including those no longer accepted.
     assigned: AssignedPositions,
+    /// The settings as written; [`ActiveConfig::settings`] adapts them to discovery over HTTP.
     settings: Settings,
+    /// The time limit for establishing a connection to an upstream.
     connect_timeout: Duration,
 }
 
@@ -73,10 +88,10 @@
         }
     }
 
-    /// Computes the configuration in force after `config` replaces this one, and what that changes. Known names keep
-    /// their positions and new names are appended; a name that `config` lacks keeps its position but is no longer
-    /// accepted. `open_descriptors` is the number of descriptors in use now. The list of upstreams in `config` is
-    /// ignored, because discovery has sent newer ones since the start.
+    /// Computes the configuration in force after `config` replaces this one, and what that changes. Known
+    /// names keep their positions and new names are appended; a name that `config` lacks keeps its position
+    /// but is no longer accepted. `open_descriptors` is the number of descriptors in use now. The list of
+    /// upstreams in `config` is ignored, because discovery has sent newer ones since the start.
     ///
     /// # Errors
     /// The settings cannot replace those in force.
@@ -142,7 +157,8 @@
         Ok((next, changes))
     }
 
-    /// What differs in `next`, apart from the settings that only a restart applies.
+    /// Lists the differences between this configuration and `next`, apart from the settings that only a
+    /// restart applies.
     fn differences_to(&self, next: &Self) -> Vec<Difference> {
         let (old, new) = (&self.settings, &next.settings);
         let mut differences = Vec::new();
@@ -200,13 +216,13 @@
         differences
     }
 
-    /// The settings for the decisions.
+    /// The settings as the decisions use them, adapted to discovery over HTTP.
     #[must_use]
     pub fn settings(&self) -> Settings {
         let mut settings = self.settings.clone();
         if settings.discovery == DiscoveryMode::Push {
-            // Over HTTP pushed lists arrive on a watch as well. A change still counts as delivered while there is no
-            // watch, however recently one was requested, so that no poll interval applies.
+            // Over HTTP pushed lists arrive on a watch as well. A change still counts as delivered while
+            // there is no watch, however recently one was requested, so that no poll interval applies.
             settings.discovery = DiscoveryMode::Subscribe;
             settings.rules.max_poll_interval = None;
         }
@@ -267,15 +283,16 @@
 
 /// The positions of one list of names after a new configuration.
 struct CarriedOver {
-    /// All names since the start.
+    /// The positions of all names since the start of the program.
     assigned: Positions,
-    /// The names of the new configuration.
+    /// The positions of the names that the new configuration has.
     in_use: Positions,
     /// The positions of the new configuration's names, in the order of its list.
     positions: Vec<usize>,
 }
 
-/// Assigns positions to the names of a new list: names known before keep theirs, others get the next free ones.
+/// Assigns positions to the names of a new list: names known before keep theirs, others get the next free
+/// ones.
 fn carry_over(list: NameList, assigned: &Positions, new: &Positions) -> Result<CarriedOver, ReloadError> {
     let mut assigned = assigned.clone();
     let mut names: Vec<_> = new.iter().collect();
@@ -292,19 +309,22 @@
     Ok(CarriedOver { assigned, in_use, positions })
 }
 
-/// Replaces the values at `positions` with the new ones, which are in the same order; new positions are appended.
+/// Replaces the value at `positions[i]` with `new[i]`, for each `i`; values for positions past the end are
+/// appended.
 fn replace_at<T: Clone>(mut values: Vec<T>, new: &[T], positions: &[usize]) -> Vec<T> {
     for (value, &position) in new.iter().zip(positions) {
         match values.get_mut(position) {
             Some(current) => *current = value.clone(),
-            // Positions past the end were assigned in this order, so that appending keeps value and position together.
+            // Positions past the end were assigned in this order, so that appending keeps value and position
+            // together.
             None => values.push(value.clone()),
         }
     }
     values
 }
 
-/// The names added to and removed from a list, and those on both lists whose values differ, as counts above zero.
+/// The names added to and removed from a list, and those on both lists whose values differ, as counts above
+/// zero.
 fn name_differences(
     list: NameList,
     old: &Positions,
--- a/proxy/src/active_config/tests.rs
+++ b/proxy/src/active_config/tests.rs
@@ -3,40 +3,42 @@
 use super::*;
 use serde_json::{Value, json};
 
-fn text() -> Value {
+fn base_config() -> Value {
     json!({"name": "n0", "listen": "127.0.0.1:80", "discovery": "127.0.0.1:1", "seed": "1f",
            "limits": {"sockets": 1024},
            "settings": {
                "balancers": 12, "me": 0, "zone": "north", "zones": ["north", "south"], "kinds": ["std"],
-               "lanes": [lane("read", "idempotent"), lane("pay", "at_most_once")],
+               "lanes": [class_entry("read", "idempotent"), class_entry("pay", "at_most_once")],
                "projects": [{"name": "acme", "quotaPerS": 5.0}, {"name": "zenith", "quotaPerS": 7.0}],
                "discovery": "subscribe", "caps": {"tryLimit": 3},
                "rules": {"coldShare": 0.2, "coldS": 10.0, "fallMultiple": 3.0, "overloadForS": 2.0}}})
 }
 
-fn lane(name: &str, effect: &str) -> Value {
+fn class_entry(name: &str, effect: &str) -> Value {
     json!({"name": name, "onTimeS": 1.0, "hardLimitS": 2.0, "effect": effect})
 }
 
-fn config(text: &Value) -> Config {
+fn parse_config(text: &Value) -> Config {
     Config::parse(&text.to_string(), |_| None).expect("a sound configuration")
 }
 
-/// Replaces the configuration in force with a changed one; returns the new one and the text about the changes.
+/// Replaces the configuration in force with a changed one; returns the new one and the text about the
+/// changes.
 fn replace_with(old: &ActiveConfig, change: impl FnOnce(&mut Value)) -> (ActiveConfig, String) {
-    let mut text = text();
+    let mut text = base_config();
     change(&mut text);
-    let (new, changes) = old.replaced_by(config(&text), 100).expect("an accepted replacement");
+    let (new, changes) = old.replaced_by(parse_config(&text), 100).expect("an accepted replacement");
     (new, changes.to_string())
 }
 
 /// Guards against requests in flight being attributed to another class or tenant after a reload.
 #[test]
 fn known_names_keep_their_positions_and_new_ones_are_appended() {
-    let start = ActiveConfig::start(config(&text()));
+    let start = ActiveConfig::start(parse_config(&base_config()));
     let (next, line) = replace_with(&start, |text| {
         let settings = &mut text["settings"];
-        settings["lanes"] = json!([lane("order", "at_most_once"), lane("read", "at_most_once")]);
+        settings["lanes"] =
+            json!([class_entry("order", "at_most_once"), class_entry("read", "at_most_once")]);
         settings["projects"] =
             json!([{"name": "nova", "quotaPerS": 9.0}, {"name": "zenith", "quotaPerS": 8.0}]);
         settings["zones"] = json!(["west", "south"]);
@@ -76,7 +78,7 @@
 
 #[test]
 fn the_text_names_what_has_changed_and_what_requires_a_restart() {
-    let start = ActiveConfig::start(config(&text()));
+    let start = ActiveConfig::start(parse_config(&base_config()));
     assert_eq!(replace_with(&start, |_| {}).1, "nothing has changed");
     let (next, line) = replace_with(&start, |text| {
         text["discovery"] = json!("127.0.0.1:2");
@@ -90,7 +92,7 @@
         settings["lanes"]
             .as_array_mut()
             .expect("a list")
-            .extend([lane("a", "idempotent"), lane("b", "idempotent")]);
+            .extend([class_entry("a", "idempotent"), class_entry("b", "idempotent")]);
     });
     assert_eq!(
         line,
@@ -106,24 +108,24 @@
 
 #[test]
 fn the_longest_deadline_counts_accepted_classes_only() {
-    let start = ActiveConfig::start(config(&text()));
+    let start = ActiveConfig::start(parse_config(&base_config()));
     let with_longer_deadline = |text: &mut Value| text["settings"]["lanes"][1]["hardLimitS"] = json!(9.0);
     let (next, _) = replace_with(&start, with_longer_deadline);
     assert_eq!(next.longest_deadline(), Duration::from_secs(9));
     let (next, _) =
-        replace_with(&next, |text| text["settings"]["lanes"] = json!([lane("read", "idempotent")]));
+        replace_with(&next, |text| text["settings"]["lanes"] = json!([class_entry("read", "idempotent")]));
     assert_eq!(next.longest_deadline(), Duration::from_secs(2));
 }
 
 /// Guards against memory that grows with every reload because each file has new names.
 #[test]
 fn more_names_than_the_limit_are_rejected() {
-    let mut active_config = ActiveConfig::start(config(&text()));
+    let mut active_config = ActiveConfig::start(parse_config(&base_config()));
     for round in 0.. {
-        let mut text = text();
+        let mut text = base_config();
         let names = (0..1000).map(|number| json!({"name": format!("t-{round}-{number}")}));
         text["settings"]["projects"] = names.collect();
-        match active_config.replaced_by(config(&text), 0) {
+        match active_config.replaced_by(parse_config(&text), 0) {
             Ok((next, _)) => active_config = next,
             Err(error) => {
                 assert_eq!(
--- a/proxy/src/clock.rs
+++ b/proxy/src/clock.rs
@@ -5,20 +5,22 @@
 use stilelead_decision::interface::Timestamp;
 use tokio::time::Instant;
 
-/// The decision clock reads this much when the program starts, so that upstreams which started before the program
-/// have a time on it as well. An upstream that started even earlier has long been warm.
+/// The time that the decision clock shows when the program starts. It is above zero, so that upstreams which
+/// started before the program have a time on it as well. An upstream that started even earlier has long been
+/// warm.
 const CLOCK_LEAD: Duration = Duration::from_secs(3600);
 
 /// The clock of the decisions: translates instants and Unix times to it.
 #[derive(Debug, Clone, Copy)]
 pub struct Clock {
+    /// When the clock was started.
     started_at: Instant,
     /// Unix time in milliseconds at which the decision clock reads zero.
     zero_unix_ms: u64,
 }
 
 impl Clock {
-    /// A clock that starts now.
+    /// Starts a clock that shows `CLOCK_LEAD` now.
     #[must_use]
     pub fn start() -> Self {
         let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
--- a/proxy/src/config.rs
+++ b/proxy/src/config.rs
@@ -50,20 +50,25 @@
         name: &'static str,
         /// The value that was given.
         value: String,
-        /// What is accepted.
+        /// A description of the accepted values.
         expected: String,
     },
 }
 
-/// The configuration file as written.
+/// The structure of the configuration file.
 #[derive(Deserialize)]
 struct ConfigFile {
+    /// The name of this balancer instance; `PROXY_NAME` takes precedence.
     #[serde(default)]
     name: String,
+    /// The address that clients connect to; `PROXY_LISTEN` takes precedence.
     listen: Option<String>,
+    /// The address of discovery; `PROXY_DISCOVERY` takes precedence, except in a reload.
     discovery: Option<String>,
+    /// The seed of the random choices in hexadecimal; empty for 0.
     #[serde(default)]
     seed: String,
+    /// Resource limits of the process.
     #[serde(default)]
     limits: Limits,
     /// The list of upstreams to start with.
@@ -117,8 +122,8 @@
         Self::parse(&read_file()?, |name| env::var(name).ok())
     }
 
-    /// Reads the file again after it was replaced. Here the discovery address in the file takes precedence over
-    /// `PROXY_DISCOVERY`, because the environment is still that of the program's start.
+    /// Reads the file again after it was replaced. Here the discovery address in the file takes precedence
+    /// over `PROXY_DISCOVERY`, because the environment is still that of the program's start.
     ///
     /// # Errors
     /// The file is missing or invalid.
@@ -165,9 +170,10 @@
 
 /// The number of file descriptors that the process may have open if the file does not set `limits.sockets`.
 const DEFAULT_MAX_DESCRIPTORS: usize = 1024;
-/// The largest file accepted. It includes the list of upstreams, so that the limit is that of a discovery message.
+/// The largest configuration file that is accepted. It includes the list of upstreams, so that the limit is
+/// that of a discovery message.
 const MAX_FILE_BYTES: u64 = 8 << 20;
-/// With fewer file descriptors than this there would be none left for clients.
+/// The smallest limit of file descriptors that is accepted: with fewer, none would be left for clients.
 const MIN_DESCRIPTORS: usize = 48;
 
 /// Reads the file that `PROXY_CONFIG` names.
--- a/proxy/src/directory.rs
+++ b/proxy/src/directory.rs
@@ -9,7 +9,7 @@
 use crate::clock::Clock;
 use crate::discovery::{Endpoint, Update};
 
-/// The source of an update of the list.
+/// The source of an update of the list of upstreams.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum UpdateSource {
     /// The list in the configuration, which may be out of date.
@@ -20,32 +20,35 @@
     FormerWatch,
 }
 
-/// The result of applying an update to the list.
+/// The result of applying an update to the list of upstreams.
 #[derive(Debug)]
 pub struct AppliedUpdate {
-    /// The update as the decisions read it.
+    /// The update in the form that the decisions receive.
     pub list: DiscoveryUpdate,
     /// Upstreams whose process was restarted: connections to the old process are dead.
     pub restarted: Vec<UpstreamId>,
 }
 
-/// What is kept of an upstream's latest entry.
+/// The part of an upstream's latest list entry that the directory keeps.
 #[derive(Debug)]
 struct ListEntry {
+    /// The upstream's address.
     address: SocketAddr,
     /// Unix time of the latest start in milliseconds, as discovery gives it.
     since_ms: u64,
-    /// Whether it accepts requests; otherwise it is draining.
+    /// Whether the upstream accepts new requests; otherwise it is draining.
     ready: bool,
 }
 
 /// The upstreams of the latest list.
 #[derive(Debug)]
 pub struct Directory {
+    /// Translates the start times of upstreams to the time of the decisions.
     clock: Clock,
-    /// The ids of the listed upstreams by name. Replaced upstreams bring new names all the time, so the names of
-    /// unlisted upstreams are dropped.
+    /// The ids of the listed upstreams by name. Replaced upstreams bring new names all the time, so the names
+    /// of unlisted upstreams are dropped.
     ids: FxHashMap<Box<str>, UpstreamId>,
+    /// The latest entry of each listed upstream.
     entries: FxHashMap<UpstreamId, ListEntry>,
 }
 
@@ -122,6 +125,8 @@
         AppliedUpdate { list, restarted }
     }
 
+    /// Applies one entry of an update; `None` if it is malformed. A restarted upstream is added to
+    /// `restarted`.
     fn apply_entry(
         &mut self,
         endpoint: &Endpoint,
@@ -160,8 +165,9 @@
         })
     }
 
-    /// The id of an upstream: an FNV-1a hash of its name, so that all balancers order the upstreams alike and a
-    /// name that is listed again gets the same id. If two names collide, the later one takes the next free id.
+    /// The id of an upstream: an FNV-1a hash of its name, so that all balancers order the upstreams alike and
+    /// a name that is listed again gets the same id. If two names collide, the later one takes the next free
+    /// id.
     fn find_or_assign_id(&mut self, name: &str) -> UpstreamId {
         if let Some(&id) = self.ids.get(name) {
             return id;
--- a/proxy/src/directory/tests.rs
+++ b/proxy/src/directory/tests.rs
@@ -9,8 +9,9 @@
     serde_json::from_str(&text).expect("an endpoint")
 }
 
-/// Guards against memory that grows while upstreams are replaced all the time: the name of an upstream is dropped
-/// when discovery reports it gone or a full list lacks it, and gets the same id when it is listed again.
+/// Guards against memory that grows while upstreams are replaced all the time: the name of an upstream is
+/// dropped when discovery reports it gone or a full list lacks it, and gets the same id when it is listed
+/// again.
 #[test]
 fn names_of_removed_upstreams_are_dropped() {
     let config = Config::parse(CONFIGURATION, |_| None).expect("a sound configuration");
--- a/proxy/src/discovery.rs
+++ b/proxy/src/discovery.rs
@@ -1,4 +1,5 @@
-//! The client of discovery: the format of list updates, and the watch (one long HTTP response) that delivers them.
+//! The client of discovery: the format of list updates, and the watch (one long HTTP response) that delivers
+//! them.
 
 use std::io;
 use std::net::SocketAddr;
@@ -30,8 +31,8 @@
     pub endpoints: Vec<Endpoint>,
 }
 
-/// Parses each entry separately and skips malformed ones, so that one of them does not cost the others, which may
-/// include a drain.
+/// Parses each entry separately and skips malformed ones, so that one of them does not cost the others, which
+/// may include a drain.
 fn deserialize_endpoints<'de, D: Deserializer<'de>>(input: D) -> Result<Vec<Endpoint>, D::Error> {
     let raw: Vec<Box<RawValue>> = Vec::deserialize(input)?;
     let parse_entry = |raw: &RawValue| {
@@ -47,45 +48,46 @@
 /// An upstream as discovery lists it.
 #[derive(Debug, Clone, Deserialize, Serialize)]
 pub struct Endpoint {
-    /// Its name, which every balancer gets alike.
+    /// The name of the upstream, the same for all balancers.
     pub name: String,
-    /// The IP address and port that it listens on.
+    /// The IP address and port that the upstream listens on.
     #[serde(default)]
     pub address: String,
-    /// The name of its zone.
+    /// The name of the upstream's zone.
     #[serde(default)]
     pub zone: String,
-    /// The name of its machine type.
+    /// The name of the upstream's machine type.
     #[serde(default, rename = "type")]
     pub kind: String,
-    /// The number of its cell.
+    /// The number of the upstream's cell.
     #[serde(default)]
     pub group: u32,
-    /// `ready`, `draining` or `gone`.
+    /// The upstream's state: `ready`, `draining` or `gone`.
     pub status: String,
-    /// Its capacity relative to the others.
+    /// The upstream's capacity relative to the others.
     #[serde(default = "default_weight")]
     pub weight: f64,
-    /// The Unix time of its latest start in milliseconds; 0 means long ago.
+    /// The Unix time of the upstream's latest start in milliseconds; 0 means long ago.
     #[serde(default)]
     pub since_ms: u64,
 }
 
+/// The weight of an upstream whose entry gives none.
 fn default_weight() -> f64 {
     1.0
 }
 
-/// The longest time from requesting a watch to its first message: discovery answers calls one after another, so that a
-/// call may have to queue.
+/// The longest time from requesting a watch to its first message: discovery answers calls one after another,
+/// so that a call may have to queue.
 const FIRST_MESSAGE_TIMEOUT: Duration = Duration::from_secs(5);
-/// The longest time between two complete messages. A watch sends one every 2 s, so that one silent for well over that
-/// is dead. A change in discovery counts as delivered at most 6 s after it was made; by then a new watch must have been
-/// requested and answered, which takes seconds.
+/// The longest time between two complete messages of a watch. A watch sends one every 2 s, so that one silent
+/// for well over that is dead. A change in discovery counts as delivered at most 6 s after it was made; by
+/// then a new watch must have been requested and answered, which takes seconds.
 const SILENCE_TIMEOUT: Duration = Duration::from_millis(3200);
 /// The largest message accepted, so that a faulty discovery cannot fill the memory.
 const MAX_MESSAGE_BYTES: usize = 8 << 20;
 
-/// Why a watch ended.
+/// Why a watch on discovery ended.
 #[derive(Debug, Error)]
 pub enum WatchError {
     /// The connection was refused: nothing listens on the address.
@@ -120,8 +122,8 @@
 impl From<ConnectError> for WatchError {
     fn from(error: ConnectError) -> Self {
         match error {
-            // Only a refused connection shows that discovery is down; other errors may come from the network between
-            // or from this process.
+            // Only a refused connection shows that discovery is down; other errors may come from the network
+            // between or from this process.
             ConnectError::Failed(error) if error.kind() == io::ErrorKind::ConnectionRefused => {
                 Self::Unreachable
             }
@@ -149,7 +151,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct WatchId(pub u64);
 
-/// The parameters of a watch.
+/// The parameters with which a watch on discovery is opened.
 #[derive(Debug, Clone, Copy)]
 pub struct WatchRequest {
     /// The address of discovery.
@@ -176,6 +178,7 @@
     events.ended(request.id, &error);
 }
 
+/// Opens a watch and reports its updates; returns only when the watch has ended.
 async fn run_watch(
     events: &impl WatchEvents,
     request: WatchRequest,
@@ -185,12 +188,12 @@
     tracing::info!(watch = id.0, %address, since, "asks discovery for a watch");
     let mut deadline = requested_at + FIRST_MESSAGE_TIMEOUT;
     let target = ConnectTarget { address, timeout: FIRST_MESSAGE_TIMEOUT };
-    let mut conn = upstream::connect(events.reserve_descriptor(), target).await?;
+    let mut connection = upstream::connect(events.reserve_descriptor(), target).await?;
     let request = Request::get(format!("/catalog/members?follow=1&since={since}"))
         .header(header::HOST, address.to_string())
         .body(Full::<Bytes>::default())
         .unwrap_or_default();
-    let response = timeout_at(deadline, conn.sender.send_request(request))
+    let response = timeout_at(deadline, connection.sender.send_request(request))
         .await
         .map_err(|_| WatchError::Silent { since_last_message: None })??;
     let (status, after_ms) = (response.status(), requested_at.elapsed().as_millis());
@@ -202,22 +205,23 @@
     let mut splitter = MessageSplitter::default();
     let mut last_message_at: Option<Instant> = None;
     loop {
-        // Only complete messages extend the deadline: bytes that keep arriving without completing a message must not
-        // keep a dead watch alive.
+        // Only complete messages extend the deadline: bytes that keep arriving without completing a message
+        // must not keep a dead watch alive.
         let frame = timeout_at(deadline, body.frame())
             .await
             .map_err(|_| WatchError::Silent { since_last_message: last_message_at.map(|at| at.elapsed()) })?;
         let Ok(data) = frame.ok_or(WatchError::Ended)??.into_data() else { continue };
         splitter.buffer.extend_from_slice(&data);
-        let mut got_message = false;
+        let mut received_message = false;
         while let Some(message) = splitter.next_message() {
             events.updated(id, serde_json::from_slice(&message)?);
-            got_message = true;
+            received_message = true;
         }
         // An empty line is a heartbeat and counts as a message, unless it is inside an incomplete one.
-        if got_message || (splitter.buffer.is_empty() && data.contains(&b'\n')) {
-            if last_message_at.is_none() && !got_message {
-                // The list has not changed since the requested version; an empty update reports that the watch works.
+        if received_message || (splitter.buffer.is_empty() && data.contains(&b'\n')) {
+            if last_message_at.is_none() && !received_message {
+                // The list has not changed since the requested version; an empty update reports that the
+                // watch works.
                 events.updated(id, Update { index: since, snapshot: false, endpoints: Vec::new() });
             }
             let now = Instant::now();
@@ -230,26 +234,26 @@
     }
 }
 
-/// Splits the body of a watch into JSON messages. A chunk may hold several messages or a part of one, and a message may
-/// span several lines. Its end is found by counting brackets, because a JSON parser reports some truncated messages as
-/// malformed rather than incomplete.
+/// Splits the body of a watch into JSON messages. A chunk may hold several messages or a part of one, and a
+/// message may span several lines. Its end is found by counting brackets, because a JSON parser reports some
+/// truncated messages as malformed rather than incomplete.
 #[derive(Default)]
 struct MessageSplitter {
     /// The bytes received that do not form a complete message yet.
     buffer: Vec<u8>,
     /// The length of the part of `buffer` that has been scanned.
     scanned_len: usize,
-    /// The number of open brackets at that point.
+    /// The number of brackets that are open at the end of the scanned part.
     bracket_depth: usize,
-    /// Whether that point is inside a string.
+    /// Whether the scanned part ends inside a string.
     in_string: bool,
-    /// Whether the byte before that point is a backslash that escapes the next one.
+    /// Whether the scanned part ends with a backslash that escapes the next byte.
     escaped: bool,
 }
 
 impl MessageSplitter {
-    /// The next complete message. Outside brackets and strings, any byte that is not white space is returned as a
-    /// message of its own, which then fails to parse.
+    /// The next complete message. Outside brackets and strings, any byte that is not white space is returned
+    /// as a message of its own, which then fails to parse.
     fn next_message(&mut self) -> Option<Vec<u8>> {
         while let Some(&byte) = self.buffer.get(self.scanned_len) {
             self.scanned_len += 1;
--- a/proxy/src/driver.rs
+++ b/proxy/src/driver.rs
@@ -33,7 +33,8 @@
 
 /// Descriptors that are not connections: standard streams, listener, runtime.
 const RESERVED_DESCRIPTORS: usize = 16;
-/// Idle upstream connections leave one in this many sockets to clients.
+/// Idle upstream connections leave one in this many sockets to clients: when fewer are free, an idle
+/// connection is closed before another upstream connection is opened.
 const CLIENT_SHARE_DIVISOR: usize = 4;
 
 /// The final answer to a client.
@@ -53,17 +54,17 @@
 /// A client's request as it is handed to the decisions.
 #[derive(Debug)]
 pub struct ClientRequest {
-    /// Its class.
+    /// The class of the request.
     pub class: ClassId,
-    /// Its tenant, where the settings have tenants.
+    /// The tenant of the request; `None` where the settings have no tenants.
     pub tenant: Option<TenantId>,
-    /// The resource that it is about, if it names one.
+    /// The resource that the request is about, if it names one.
     pub resource_key: Option<u64>,
-    /// The work that it is expected to take, if the client has estimated it.
+    /// The work that the request is expected to take, if the client has estimated it.
     pub expected_work: Option<Duration>,
-    /// The client has marked it as a retry.
+    /// Whether the client has marked the request as a retry.
     pub is_retry: bool,
-    /// When its answer has to be sent.
+    /// When the answer to the request has to be sent.
     pub deadline: Instant,
     /// The request to forward to upstreams.
     pub forwarded: Rc<ForwardedRequest>,
@@ -71,53 +72,70 @@
 
 /// A request that has no final answer yet, or still has attempts in flight.
 struct PendingRequest {
+    /// The request to forward to upstreams.
     forwarded: Rc<ForwardedRequest>,
+    /// When the final answer has to be given.
     deadline: Instant,
     /// `None` once the final answer is given, or the client has disconnected.
     answer_sender: Option<oneshot::Sender<Answer>>,
-    /// By attempt number; `None` once the attempt has ended or been cancelled.
+    /// The request's attempts by number; `None` once the attempt has ended or been cancelled.
     attempts: Vec<Option<InFlightAttempt>>,
+    /// The number of attempts that have not reported their end, including cancelled ones.
     attempts_in_flight: u32,
 }
 
 /// An attempt that has not ended.
 struct InFlightAttempt {
+    /// The upstream that the attempt is sent to.
     upstream: UpstreamId,
     /// Cancels the attempt, which then ends with the outcome sent.
     cancel: oneshot::Sender<Outcome>,
+    /// How much of the attempt's request has been written.
     progress: Rc<Progress>,
 }
 
 /// An upstream connection that carries no request and is kept for the next attempt.
 struct IdleConnection {
+    /// The open connection.
     connection: Connection,
+    /// The upstream's address that the connection leads to.
     address: SocketAddr,
+    /// When the connection became idle.
     idle_since: Instant,
 }
 
-/// The mutable state, borrowed while events are handled.
+/// The mutable state of [`Driver`], borrowed while events are handled.
 struct Core {
+    /// Makes the decisions.
     balancer: Balancer,
     /// Events that are still to be passed to `balancer`.
     events: VecDeque<Event>,
+    /// Requests without a final answer or with attempts in flight.
     requests: FxHashMap<RequestId, PendingRequest>,
     /// Client-given ids of the pending requests: upstreams count a second request with the same id as a
     /// duplicate.
     client_ids: FxHashSet<Box<[u8]>>,
+    /// The id that the next accepted request gets.
     next_request_id: u64,
+    /// The current list of upstreams.
     directory: Directory,
     /// Idle connections by upstream, the most recently used last.
     idle_connections: FxHashMap<UpstreamId, Vec<IdleConnection>>,
+    /// The watches on discovery.
     subscription: Subscription,
 }
 
 /// The state of a running balancer.
 pub struct Driver {
+    /// The state that events change; never borrowed across an await.
     core: RefCell<Core>,
+    /// The configuration in force; a reload replaces it as a whole.
     active_config: RefCell<Rc<ActiveConfig>>,
     /// Notified when another configuration has come into force.
     reconfigured: Notify,
+    /// Translates the runtime's time to that of the decisions.
     clock: Clock,
+    /// The operator's metrics.
     metrics: Metrics,
     /// Number of connections counted by permits.
     open_sockets: Rc<Cell<usize>>,
@@ -163,13 +181,16 @@
             driver.core.borrow_mut().subscription.resume_from(resume_version);
         }
         driver.handle(Event::Started);
-        let sweeper = Rc::clone(&driver);
+        let cleanup_driver = Rc::clone(&driver);
         spawn_local(async move {
             loop {
                 // New settings may have a shorter idle timeout.
-                let _ = timeout(sweeper.active_config().idle_timeout() / 8, sweeper.reconfigured.notified())
-                    .await;
-                sweeper.close_expired();
+                let _ = timeout(
+                    cleanup_driver.active_config().idle_timeout() / 8,
+                    cleanup_driver.reconfigured.notified(),
+                )
+                .await;
+                cleanup_driver.close_expired();
             }
         });
         Ok(driver)
@@ -198,7 +219,7 @@
     /// Puts a new configuration in force, as a whole or not at all; requests in flight continue.
     ///
     /// # Errors
-    /// It cannot replace the one in force while the program runs.
+    /// The configuration cannot replace the one in force while the program runs.
     pub fn reconfigure(self: &Rc<Self>, config: Config) -> Result<Changes, ReloadError> {
         let old = self.active_config();
         let (new, changes) = old.replaced_by(config, self.open_sockets.get() + RESERVED_DESCRIPTORS)?;
@@ -417,9 +438,9 @@
 
     // --- Discovery ---
 
-    /// Watches discovery at a new address, or again for the full list if the current one was read with
-    /// other names. The current watch stays in use until the new one has sent its first update, so that no
-    /// drain is missed.
+    /// Starts a new watch if the address of discovery has changed, or if the full list is needed because the
+    /// current one was read with other names. The current watch stays in use until the new one has sent its
+    /// first update, so that no drain is missed.
     fn restart_watch(self: &Rc<Self>, address: SocketAddr, full_list: bool) {
         let address_changed = {
             let mut core = self.core.borrow_mut();
@@ -479,6 +500,7 @@
         }
     }
 
+    /// Carries out one action that the decisions returned.
     fn carry_out(self: &Rc<Self>, core: &mut Core, action: Action) {
         match action {
             Action::Send { request, upstream, timeout, start_within } => {
@@ -533,7 +555,7 @@
         }
     }
 
-    /// Counts and logs a decision that the operator is told of.
+    /// Counts and logs what the decisions report to the operator.
     fn report(&self, core: &Core, report: Report) {
         let name = |upstream| core.directory.name(upstream).unwrap_or("unlisted");
         match report {
--- a/proxy/src/driver/tests.rs
+++ b/proxy/src/driver/tests.rs
@@ -8,7 +8,7 @@
 use crate::config::tests::CONFIGURATION;
 
 impl Driver {
-    /// The id of a listed upstream.
+    /// The id of a listed upstream, by its name.
     pub(crate) fn upstream_id(&self, name: &str) -> UpstreamId {
         self.core.borrow().directory.id_of(name).expect("listed")
     }
@@ -22,16 +22,17 @@
 /// How discovery fails a call.
 #[derive(Debug, Clone, Copy)]
 enum Failure {
-    /// Nothing listens at its address.
+    /// Nothing listens at the address of discovery.
     Unreachable,
+    /// Discovery resets the connection.
     Reset,
-    /// It answers 503.
+    /// Discovery answers 503.
     Overloaded,
-    /// It accepts the call and never answers.
+    /// Discovery accepts the call and never answers.
     Silent,
-    /// It opens a watch that ends before its first update.
+    /// Discovery opens a watch that ends before its first update.
     EndsEarly,
-    /// It opens a watch that falls silent after its first update.
+    /// Discovery opens a watch that falls silent after its first update.
     StopsSending,
 }
 
@@ -41,7 +42,7 @@
 
     async fn handle_connection(self, mut stream: TcpStream) {
         let _ = stream.read(&mut [0; 1024]).await;
-        let watch = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
+        let watch_head = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
         match self {
             Self::Unreachable | Self::Reset => {
                 SockRef::from(&stream).set_linger(Some(Duration::ZERO)).expect("set")
@@ -50,10 +51,10 @@
                 let _ = stream.write_all(b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n").await;
             }
             Self::EndsEarly => {
-                let _ = stream.write_all(watch).await;
+                let _ = stream.write_all(watch_head).await;
             }
             Self::StopsSending => {
-                let _ = stream.write_all(&[&watch[..], b"1\r\n\n\r\n"].concat()).await;
+                let _ = stream.write_all(&[&watch_head[..], b"1\r\n\n\r\n"].concat()).await;
                 std::future::pending().await
             }
             Self::Silent => std::future::pending().await,
@@ -98,13 +99,13 @@
                 .replace(r#""rules": {"#, rules);
             let driver = Driver::start(Config::parse(&text, |_| None).expect("a valid configuration"))
                 .expect("starts");
-            let calls = || driver.core.borrow().subscription.newest_watch_id();
+            let latest_call = || driver.core.borrow().subscription.newest_watch_id();
             let (start, mut last_call, mut longest_gap) = (Instant::now(), Instant::now(), Duration::ZERO);
-            let mut seen_calls = calls();
+            let mut seen_call = latest_call();
             while start.elapsed() < Duration::from_secs(300) {
                 sleep(Duration::from_millis(10)).await;
-                if calls() > seen_calls {
-                    (seen_calls, last_call) = (calls(), Instant::now());
+                if latest_call() > seen_call {
+                    (seen_call, last_call) = (latest_call(), Instant::now());
                 }
                 longest_gap = longest_gap.max(last_call.elapsed());
             }
--- a/proxy/src/framing.rs
+++ b/proxy/src/framing.rs
@@ -74,6 +74,7 @@
         Ok(())
     }
 
+    /// Removes a request's head and what has arrived of its body, and remembers how much is still to come.
     fn consume(&self, bytes: &mut Vec<u8>, head_bytes: usize, body_bytes: u64) {
         let available = bytes.len() - head_bytes;
         let consumed = usize::try_from(body_bytes).unwrap_or(usize::MAX).min(available);
@@ -127,6 +128,8 @@
         self.read_ahead_overflowed.get()
     }
 
+    /// Records bytes that hyper reads: the rest of the current request's body, then those of the next
+    /// request.
     fn record(&self, mut bytes: &[u8]) {
         let body_bytes = usize::try_from(self.body_remaining.get()).unwrap_or(usize::MAX).min(bytes.len());
         self.body_remaining.set(self.body_remaining.get() - body_bytes as u64);
@@ -142,14 +145,17 @@
 
 /// The header fields of a request head that determine its length.
 struct HeadFraming {
-    /// Size of the head, including line ends before it.
+    /// Size of the request head, including line ends before it.
     head_bytes: usize,
+    /// The number of `Content-Length` fields.
     content_lengths: usize,
+    /// The value of the last `Content-Length` field; `None` if it is not a number.
     content_length: Option<u64>,
+    /// The number of `Transfer-Encoding` fields.
     transfer_encodings: usize,
 }
 
-/// Parses a head that hyper has accepted; `None` if its end is missing.
+/// Parses a request head that hyper has accepted; `None` if its end is missing.
 fn parse_head(bytes: &[u8]) -> Option<HeadFraming> {
     let mut head =
         HeadFraming { head_bytes: 0, content_lengths: 0, content_length: None, transfer_encodings: 0 };
@@ -179,7 +185,9 @@
 
 /// A client's socket that records all bytes read from it.
 pub struct InspectedStream {
+    /// The client's socket.
     stream: Rc<TcpStream>,
+    /// Records the bytes that are read.
     input: Rc<PendingInput>,
 }
 
--- a/proxy/src/logging.rs
+++ b/proxy/src/logging.rs
@@ -21,7 +21,8 @@
     InvalidLevel(String),
 }
 
-/// Writes the program's name, the message and the event's fields; the log collector adds the time.
+/// The format of a log line: the program's name, the message and the event's fields; the log collector adds
+/// the time.
 struct LineFormat;
 
 impl<S, N> FormatEvent<S, N> for LineFormat
--- a/proxy/src/metrics.rs
+++ b/proxy/src/metrics.rs
@@ -15,26 +15,26 @@
 /// How a client's request was answered.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, EncodeLabelValue)]
 pub enum AnswerKind {
-    /// With an upstream's answer.
+    /// The client got an upstream's answer.
     Served,
-    /// Refused without being executed; the client may safely retry.
+    /// The request was refused without being executed; the client may safely retry.
     Refused,
-    /// Failed; it may have been executed.
+    /// The request failed; it may have been executed.
     Failed,
-    /// Rejected as malformed.
+    /// The request was rejected as malformed.
     Malformed,
 }
 
 /// Why a request was ended unserved.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, EncodeLabelValue)]
 pub enum UnservedCause {
-    /// The rate limits did not admit it.
+    /// The rate limits did not admit the request.
     Suppressed,
-    /// No upstream could be sent to.
+    /// There was no upstream that the request could be sent to.
     NoUpstream,
     /// The last attempt failed, and no further attempt was made.
     AttemptFailed,
-    /// No descriptor was left.
+    /// No file descriptor was left for an attempt.
     Descriptors,
     /// The process is shutting down and keeps its last free client connections free.
     ShuttingDown,
@@ -82,11 +82,11 @@
 /// Why a client's connection was closed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, EncodeLabelValue)]
 pub enum CloseReason {
-    /// The client closed it, or an answer announced the close.
+    /// The client closed the connection, or an answer announced the close.
     Served,
     /// No complete request head arrived in time.
     Idle,
-    /// Its descriptor was needed for another connection.
+    /// The connection's descriptor was needed for another connection.
     Evicted,
     /// The process is shutting down.
     ShuttingDown,
@@ -130,6 +130,7 @@
     }
 }
 
+/// Defines label sets that have one label each.
 macro_rules! labels {
     ($($set:ident { $label:ident: $value:ty })*) => {$(
         #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
@@ -151,23 +152,41 @@
 /// The metrics of one process.
 #[derive(Debug, Default)]
 pub struct Metrics {
+    /// All metrics under their names, for the text output.
     registry: Registry,
+    /// Client requests by answer.
     requests: Family<AnswerLabel, Counter>,
+    /// Requests refused or failed, by reason.
     unserved: Family<UnservedLabel, Counter>,
+    /// Requests whose client disconnected, or whose deadline passed, before they were ended.
     abandoned: Counter,
+    /// Ended attempts by outcome.
     attempts: Family<OutcomeLabel, Counter>,
+    /// Attempts beyond the first of their request.
     further_attempts: Counter,
+    /// Ejections of upstreams.
     ejections: Counter,
+    /// Closed client connections by reason.
     closed: Family<CloseLabel, Counter>,
+    /// Failures to accept a client connection.
     accept_failures: Counter,
+    /// Watches requested from discovery.
     watches: Counter,
+    /// Ended watches on discovery by reason.
     watch_ends: Family<WatchEndLabel, Counter>,
+    /// Version of the current list of upstreams.
     list_version: Gauge,
+    /// 1 while a watch confirms the list of upstreams, otherwise 0.
     list_confirmed: Gauge,
+    /// Changes of the trust in the list of upstreams, by the new level.
     list_trust_changes: Family<TrustLabel, Counter>,
+    /// Listed upstreams that accept requests.
     members_ready: Gauge,
+    /// Listed upstreams that are draining.
     members_draining: Gauge,
+    /// Requests without a final answer or with attempts in flight.
     requests_open: Gauge,
+    /// File descriptors counted as in use.
     descriptors: Gauge,
 }
 
--- a/proxy/src/permit.rs
+++ b/proxy/src/permit.rs
@@ -5,7 +5,10 @@
 
 /// Counts one socket against the budget until it is dropped.
 #[derive(Debug)]
-pub struct Permit(Rc<Cell<usize>>);
+pub struct Permit(
+    /// The number of sockets counted as open.
+    Rc<Cell<usize>>,
+);
 
 impl Permit {
     /// Adds one to `open_sockets` until the permit is dropped.
--- a/proxy/src/reload.rs
+++ b/proxy/src/reload.rs
@@ -39,6 +39,7 @@
 }
 
 impl NameList {
+    /// The noun for one name of the list.
     fn singular(self) -> &'static str {
         match self {
             Self::Classes => "class",
@@ -48,6 +49,7 @@
         }
     }
 
+    /// The noun for several names of the list.
     fn plural(self) -> &'static str {
         match self {
             Self::Classes => "classes",
@@ -57,7 +59,7 @@
         }
     }
 
-    /// The noun that goes with `count`.
+    /// The noun for `count` names of the list, singular or plural.
     fn noun_for(self, count: usize) -> &'static str {
         if count == 1 { self.singular() } else { self.plural() }
     }
@@ -72,21 +74,21 @@
     Added {
         /// The list of names.
         list: NameList,
-        /// The number of names.
+        /// The number of names that the difference concerns.
         count: usize,
     },
     /// Names were removed from a list; they are no longer accepted.
     Removed {
         /// The list of names.
         list: NameList,
-        /// The number of names.
+        /// The number of names that the difference concerns.
         count: usize,
     },
     /// Values of names on both lists have changed.
     Changed {
         /// The list of names.
         list: NameList,
-        /// The number of names.
+        /// The number of names that the difference concerns.
         count: usize,
     },
     /// An integer setting has changed.
@@ -118,15 +120,15 @@
 /// The differences between an old and a new configuration.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Changes {
-    /// The differences that are in force now.
+    /// The differences that have taken effect.
     pub applied: Vec<Difference>,
     /// The keys whose new values take effect only after a restart.
     pub restart_required: Vec<&'static str>,
 }
 
 impl Changes {
-    /// Whether the full list must be requested again: names of zones or machine types were added or removed, and the
-    /// entries of the current list were read with the old names.
+    /// Whether the full list must be requested again: names of zones or machine types were added or removed,
+    /// and the entries of the current list were read with the old names.
     #[must_use]
     pub fn needs_full_list(&self) -> bool {
         let changes_member_names = |difference: &Difference| match difference {
--- a/proxy/src/server.rs
+++ b/proxy/src/server.rs
@@ -39,39 +39,42 @@
 use crate::reload;
 use crate::upstream::{ForwardedRequest, MAX_BODY_BYTES, read_body};
 
-/// Subtracted from the client's time limit, in each tier again, because the answer has to arrive within it.
-/// 99 in 100 answers are sent within 0.9 ms (r7909), so this leaves room for a busy core; 30 ms left
-/// clients that wait 80 ms nothing of what the tier below needs.
+/// The time kept for delivering the answer. It is subtracted from the client's time limit, in each tier
+/// again, because the answer has to arrive within that limit. 99 in 100 answers are sent within 0.9 ms
+/// (r7909), so this leaves room for a busy core; 30 ms left clients that wait 80 ms nothing of what the tier
+/// below needs.
 pub const DEADLINE_MARGIN: Duration = Duration::from_millis(8);
 /// How long past the deadline the decisions may still give the final answer, before the request fails.
 pub const FINAL_ANSWER_GRACE: Duration = Duration::from_millis(10);
-/// The program may be killed this long after SIGTERM, plus the longest deadline of a class...
+/// The program may be killed once this time, plus the longest deadline of a class (but at most
+/// `MAX_COUNTED_DEADLINE`), has passed since SIGTERM.
 const KILL_GRACE: Duration = Duration::from_millis(700);
-/// ...of which no more than this counts.
+/// The most that the longest deadline of a class adds to the time between SIGTERM and a kill.
 const MAX_COUNTED_DEADLINE: Duration = Duration::from_secs(3);
 /// All answers have to be sent this long before the program may be killed.
 const KILL_MARGIN: Duration = Duration::from_millis(200);
-/// Fraction of the drain time during which connections are served as before: clients may have no other
-/// balancer until this one is back, and use their connections for as long as these stay open. A request
-/// that arrives at the end of it still has about 0.35 s for its answer, three times the median in r7000;
-/// with 0.6, clients there were without a balancer for a second longer.
+/// Fraction of the drain time during which connections are served as before the drain: clients may have no
+/// other balancer until this one is back, and use their connections for as long as these stay open. A request
+/// that arrives at the end of it still has about 0.35 s for its answer, three times the median in r7000; with
+/// a fraction of 0.6, clients there were without a balancer for a second longer.
 const DRAIN_OPEN_FRACTION: f64 = 0.9;
-/// Client connections that are kept free during that part of the drain: clients open no new connections to
-/// a balancer that is shutting down, and may take it for gone if none is free for a moment, although it
-/// could still serve. Two, because one may be in use while a refusal is being sent on the other; keeping a
-/// quarter of them free refused every second request in r7000.
+/// Client connections that are kept free while a drain still serves connections as before: clients open no
+/// new connections to a balancer that is shutting down, and may take it for gone if none is free for a
+/// moment, although it could still serve. Two, because one may be in use while a refusal is being sent on the
+/// other; keeping a quarter of them free refused every second request in r7000.
 const MIN_FREE_CONNECTIONS: usize = 2;
-/// Minimum time for which new connections are still accepted after that; also the time that the last
-/// answers have to be sent once unanswered requests have failed.
+/// Minimum time for which new connections are still accepted once a drain closes the existing ones; also the
+/// time in which the last answers have to be sent once unanswered requests have failed.
 const FINAL_ACCEPT_TIME: Duration = Duration::from_millis(150);
 /// How long a connection that is about to close stays open for a request that may be on its way: a new
 /// connection for its first request, any connection for the rest of a request that has begun to arrive.
 const ARRIVAL_GRACE: Duration = Duration::from_millis(100);
-/// How long a connection is still read after we have closed our side, so that the last answer arrives:
-/// closing a socket with unread bytes resets the connection and discards what the system has not delivered
-/// yet. A large answer may take this long.
+/// How long a connection is still read after the balancer has closed its side, so that the last answer
+/// arrives: closing a socket with unread bytes resets the connection and discards what the system has not
+/// delivered yet. A large answer may take this long.
 const LINGER_TIMEOUT: Duration = Duration::from_secs(1);
-/// Maximum number of bytes discarded meanwhile: a client that sends more than a request does not read.
+/// Maximum number of bytes that are read and discarded before a socket is closed: a client that sends more
+/// than a request does not read its answers.
 const MAX_LINGER_BYTES: usize = 256 * 1024;
 /// How often to check whether the drain is complete.
 const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(10);
@@ -79,13 +82,14 @@
 /// when the connection was accepted. A client that sends less has to be disconnected within 3 s, and
 /// occupies a socket until then.
 const HEAD_TIMEOUT: Duration = Duration::from_secs(2);
-/// Time for the request body to arrive completely, from the same moment.
+/// Time for a request to arrive completely, including its body; counts from the same moment as
+/// `HEAD_TIMEOUT`.
 const BODY_TIMEOUT: Duration = Duration::from_millis(2500);
 /// Idle time after which a client connection is closed: clients that send one request and stay connected
 /// must not accumulate.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(3);
-/// Idle time after which a client connection may be closed when sockets run short; it is closed earlier
-/// only as a last resort.
+/// Idle time after which a client connection may be closed when sockets run short; one that has been idle
+/// for less is closed only as a last resort.
 const MIN_IDLE_TO_EVICT: Duration = Duration::from_secs(2);
 /// Maximum size of a request head, and so of hyper's buffer for a connection.
 const MAX_HEAD_BYTES: usize = 16 * 1024;
@@ -108,15 +112,15 @@
 
 /// The state of a client connection that is shared with the rest of the server.
 struct ClientConnection {
-    /// A request is being answered, or the connection has been chosen for eviction.
+    /// Whether a request is being answered, or the connection has been chosen for eviction.
     busy: Cell<bool>,
-    /// At least one request has been received on it.
+    /// Whether at least one request has been received on the connection.
     used: Cell<bool>,
-    /// When it was accepted, or its latest answer was made.
+    /// When the connection was accepted, or its latest answer was made.
     last_activity: Cell<Instant>,
-    /// What has been received of the next request.
+    /// What has been received of the connection's next request.
     input: Rc<PendingInput>,
-    /// Nothing more is sent on it; at most its last answer is still being delivered.
+    /// Whether nothing more is sent on the connection; at most its last answer is still being delivered.
     finished: Cell<bool>,
     /// Asks for the connection to be closed as soon as it is between requests.
     close_requested: Notify,
@@ -151,8 +155,8 @@
         (rank, last_activity)
     }
 
-    /// Whether it may be closed to free a socket: clients may rely on a recently used connection for a
-    /// while.
+    /// Whether the connection may be closed to free a socket: clients may rely on a recently used connection
+    /// for a while.
     fn is_evictable(&self) -> bool {
         self.eviction_rank().0 <= 1
     }
@@ -160,12 +164,15 @@
 
 /// All client connections.
 struct Clients {
+    /// Handles the requests of the clients.
     driver: Rc<Driver>,
+    /// Tells the connections which phase the drain has reached.
     phases: watch::Receiver<Phase>,
-    /// By number, in the order accepted.
+    /// The client connections by number, in the order in which they were accepted.
     connections: RefCell<BTreeMap<u64, Rc<ClientConnection>>>,
+    /// The number that the next accepted connection gets.
     next_number: Cell<u64>,
-    /// SIGTERM has been received.
+    /// Whether the program has been told to stop.
     draining: Cell<bool>,
 }
 
@@ -338,7 +345,8 @@
         connection.busy.set(true);
         connection.used.set(true);
         async move {
-            // The attempt needs a socket too; idle client connections must not keep it from getting one.
+            // An attempt on an upstream needs a socket too, which idle client connections must not keep from
+            // it.
             if driver.short_of_sockets() {
                 clients.evict_one();
             }
@@ -363,7 +371,8 @@
         tokio::select! {
             // An error means that the program is ending.
             _ = phases.wait_for(|&phase| phase != Phase::Serving) => CloseReason::ShuttingDown,
-            // Its socket is needed now. It has been idle for long, so its last answer has arrived.
+            // The socket is needed now. The connection has been idle for long, so its last answer has
+            // arrived.
             () = connection.close_requested.notified() => {
                 connection.finished.set(true);
                 CloseReason::Evicted
@@ -423,8 +432,9 @@
     SockRef::from(stream).peek(&mut [MaybeUninit::uninit()]).is_ok_and(|bytes| bytes > 0)
 }
 
-/// Closes our side of a connection and waits for the client to close its own. Bytes that arrive until then
-/// are not treated as a request: a client whose request crosses the close sends it again elsewhere.
+/// Closes the balancer's side of a connection and waits for the client to close its own. Bytes that arrive
+/// until then are not treated as a request: a client whose request crosses the close sends it again
+/// elsewhere.
 async fn linger(stream: &TcpStream, connection: &ClientConnection) {
     let _ = SockRef::from(stream).shutdown(Shutdown::Write);
     if connection.finished.replace(true) {
@@ -494,6 +504,7 @@
 }
 
 impl BadRequest {
+    /// The status of the response that rejects the request.
     fn status(&self) -> StatusCode {
         match self {
             Self::TooLarge => StatusCode::PAYLOAD_TOO_LARGE,
@@ -503,7 +514,8 @@
         }
     }
 
-    /// Whether it leaves in doubt where the next request begins, so that the connection has to be closed.
+    /// Whether the fault leaves in doubt where the next request begins, so that the connection has to be
+    /// closed.
     fn closes_connection(&self) -> bool {
         matches!(
             self,
@@ -578,6 +590,7 @@
     response
 }
 
+/// The metrics label for an answer.
 fn answer_label(answer: &Answer) -> metrics::AnswerKind {
     match answer {
         Answer::Served(_) => metrics::AnswerKind::Served,
@@ -586,6 +599,7 @@
     }
 }
 
+/// The HTTP response that gives the final answer to the client.
 fn client_response(answer: Answer) -> Response<Full<Bytes>> {
     match answer {
         Answer::Served(body) => Response::new(Full::new(body)),
@@ -602,6 +616,7 @@
     }
 }
 
+/// A response with this status and body.
 fn text_response(status: StatusCode, text: impl Into<Bytes>) -> Response<Full<Bytes>> {
     let mut response = Response::new(Full::new(text.into()));
     *response.status_mut() = status;
@@ -611,7 +626,9 @@
 /// Tells the driver that the client has disconnected before its answer: hyper drops this together with the
 /// request's future when the connection ends.
 struct AbandonOnDrop {
+    /// The driver that the request was submitted to.
     driver: Rc<Driver>,
+    /// The id of the submitted request.
     id: RequestId,
 }
 
@@ -645,6 +662,7 @@
     Some(answer)
 }
 
+/// The value of a header; `None` if it is absent or not printable ASCII text.
 fn header_text<'a>(headers: &'a HeaderMap, name: &str) -> Option<&'a str> {
     headers.get(name).and_then(|value| value.to_str().ok())
 }
@@ -659,9 +677,11 @@
     value.trim().parse().ok().and_then(|seconds| Duration::try_from_secs_f64(seconds).ok())
 }
 
-/// What the settings determine about a request.
+/// The class, tenant and time limit of a request, as determined by the settings.
 struct Classification {
+    /// The class of the request.
     class: ClassId,
+    /// The tenant of the request; `None` where the settings have no tenants.
     tenant: Option<TenantId>,
     /// How long the client waits for the answer.
     time_limit: Duration,
--- a/proxy/src/subscription.rs
+++ b/proxy/src/subscription.rs
@@ -6,15 +6,17 @@
 
 use crate::discovery::{WatchId, WatchRequest};
 
-/// The subscription of one balancer instance to discovery: the current watch, and the previous one while it is being
-/// replaced.
+/// The subscription of one balancer instance to discovery: the current watch, and the previous one while it
+/// is being replaced.
 #[derive(Debug)]
 pub struct Subscription {
     /// The address of discovery.
     address: SocketAddr,
     /// The version of the current list; 0 requests the full list.
     version: u64,
+    /// The id of the newest watch.
     newest_watch_id: WatchId,
+    /// Aborts the current watch; `None` if there is none.
     watch: Option<AbortHandle>,
     /// The watch that is being replaced; it stays open until the new one delivers an update.
     previous_watch: Option<AbortHandle>,
@@ -33,7 +35,7 @@
         self.newest_watch_id
     }
 
-    /// The next watch will request the changes after this version.
+    /// Sets the version after which the next watch will request the changes.
     pub fn resume_from(&mut self, version: u64) {
         self.version = version;
     }
@@ -48,8 +50,8 @@
         self.watch = Some(start(request));
     }
 
-    /// Sets the address of discovery; returns whether it changed. After a change the current watch stays open until
-    /// the next one delivers an update, so that no drain is missed in between.
+    /// Sets the address of discovery; returns whether it changed. After a change the current watch stays open
+    /// until the next one delivers an update, so that no drain is missed in between.
     pub fn set_address(&mut self, address: SocketAddr) -> bool {
         if std::mem::replace(&mut self.address, address) == address {
             return false;
@@ -58,13 +60,14 @@
         true
     }
 
-    /// The next watch will request the full list; the current one stays open until that one delivers an update.
+    /// Makes the next watch request the full list; the current watch stays open until that one delivers an
+    /// update.
     pub fn request_full_list(&mut self) {
         self.version = 0;
         self.keep_as_previous();
     }
 
-    /// Keeps the current watch open as the previous one; one that was kept before is aborted.
+    /// Keeps the current watch open as the previous one; a watch that was kept earlier is aborted.
     fn keep_as_previous(&mut self) {
         if let Some(watch) = self.watch.take()
             && let Some(older) = self.previous_watch.replace(watch)
@@ -73,10 +76,11 @@
         }
     }
 
-    /// Records that a watch delivered an update to this version; returns `false` if a newer watch has been started.
+    /// Records that a watch delivered an update to this version; returns `false` if a newer watch has been
+    /// started.
     pub fn record_update(&mut self, id: WatchId, version: u64) -> bool {
-        // The version of an older watch is ignored: discovery at its previous address may be ahead of the new one, and
-        // the changes in between would then never be requested.
+        // The version of an older watch is ignored: discovery at its previous address may be ahead of the new
+        // one, and the changes in between would then never be requested.
         if id == self.newest_watch_id {
             self.version = version;
             if let Some(previous) = self.previous_watch.take() {
--- a/proxy/src/upstream.rs
+++ b/proxy/src/upstream.rs
@@ -32,7 +32,7 @@
 
 /// Maximum size of a body, of requests and responses.
 pub const MAX_BODY_BYTES: usize = 64 * 1024;
-/// Maximum size of a response head, and so of hyper's buffer for a connection.
+/// Maximum size of a response head, and so of hyper's buffer for an upstream connection.
 const MAX_HEAD_BYTES: usize = 16 * 1024;
 /// Maximum number of bytes received for one request: enough for a body in the smallest reasonable chunks
 /// and some interim responses before it. A longer response is taken for one that never ends.
@@ -44,13 +44,13 @@
 /// Why a connection could not be opened.
 #[derive(Debug, Error)]
 pub enum ConnectError {
-    /// The peer refused it, or the system reported another error.
+    /// The peer refused the connection, or the system reported another error.
     #[error("{0}")]
     Failed(#[from] io::Error),
-    /// It was not established in time.
+    /// The connection was not established in time.
     #[error("connecting timed out")]
     TimedOut,
-    /// It broke while HTTP was set up on it.
+    /// The connection broke while HTTP was set up on it.
     #[error("{0}")]
     Broken(#[from] hyper::Error),
 }
@@ -64,13 +64,15 @@
     pub timeout: Duration,
 }
 
-/// An open connection. Dropping it closes the socket, even if an exchange is in progress: an attempt that
-/// is no longer waited for must not complete unobserved.
+/// An open connection to an upstream or to discovery. Dropping it closes the socket, even if an exchange is
+/// in progress: an attempt that is no longer waited for must not complete unobserved.
 #[derive(Debug)]
 pub struct Connection {
     /// Sends requests on the connection.
     pub sender: SendRequest<Full<Bytes>>,
+    /// Counts the bytes of the connection's current request.
     traffic: Rc<Traffic>,
+    /// Aborts the task that runs HTTP on the connection, which closes the socket.
     task: AbortHandle,
 }
 
@@ -121,11 +123,12 @@
     /// Bytes of the request that the socket has accepted: a request that was never written completely was
     /// never executed.
     written_bytes: Cell<u64>,
-    /// Bytes that may still be received.
+    /// Bytes that may still be received for the current request.
     read_allowance: Cell<u64>,
 }
 
 impl Traffic {
+    /// Resets the counts for a new request.
     fn begin_request(&self) {
         self.written_bytes.set(0);
         self.read_allowance.set(MAX_ANSWER_BYTES);
@@ -134,8 +137,11 @@
 
 /// A socket that counts the bytes transferred.
 struct CountedStream {
+    /// The socket.
     stream: TcpStream,
+    /// Counts the bytes of the current request.
     traffic: Rc<Traffic>,
+    /// Counts the socket as open until it is dropped.
     _permit: Permit,
 }
 
@@ -157,6 +163,7 @@
         }
     }
 
+    /// Adds the bytes that a write has transferred to the count of the current request.
     fn count_written(&self, result: Poll<io::Result<usize>>) -> Poll<io::Result<usize>> {
         let bytes = ready!(result)?;
         self.traffic.written_bytes.set(self.traffic.written_bytes.get() + bytes as u64);
@@ -238,6 +245,7 @@
 }
 
 impl ForwardedRequest {
+    /// The HTTP request for one attempt; `time_left` is sent as its `X-Deadline`.
     fn to_http(&self, time_left: Duration) -> Request<Full<Bytes>> {
         let mut request = Request::new(Full::new(self.body.clone()));
         *request.method_mut() = self.method.clone();
@@ -288,14 +296,14 @@
     pub requested_at: Instant,
     /// When the attempt is given up.
     pub deadline: Instant,
-    /// Sending must not start later than this.
+    /// The latest time at which sending may start.
     pub latest_start: Instant,
 }
 
 /// The result of an attempt.
 #[derive(Debug)]
 pub struct AttemptResult {
-    /// How it ended.
+    /// How the attempt ended.
     pub outcome: Outcome,
     /// The body of the response, if the request was served.
     pub body: Option<Bytes>,
@@ -312,7 +320,9 @@
 /// How much of an attempt's request has been written.
 #[derive(Debug)]
 pub struct Progress {
+    /// The byte counts of the latest connection; `None` before sending begins.
     traffic: RefCell<Option<Rc<Traffic>>>,
+    /// The size of the request; `u64::MAX` before sending begins.
     request_bytes: Cell<u64>,
     /// When sending began on the latest connection.
     send_started_at: Cell<Option<Instant>>,
@@ -330,13 +340,13 @@
 }
 
 impl Progress {
-    /// Whether the last byte is written, so that the request may be executed.
+    /// Whether the last byte of the request is written, so that it may be executed.
     #[must_use]
     pub fn is_fully_written(&self) -> bool {
         self.written_bytes() >= self.request_bytes.get()
     }
 
-    /// Whether the first byte is written.
+    /// Whether the first byte of the request is written.
     #[must_use]
     pub fn has_begun(&self) -> bool {
         self.written_bytes() > 0
@@ -350,6 +360,7 @@
         self.send_started_at.get().unwrap_or(requested_at).elapsed()
     }
 
+    /// The number of bytes of the request that the socket has accepted.
     fn written_bytes(&self) -> u64 {
         self.traffic.borrow().as_ref().map_or(0, |traffic| traffic.written_bytes.get())
     }
@@ -386,8 +397,8 @@
         biased;
         finished = exchange.as_mut() => finished,
         outcome = cancelled => match outcome {
-            // It was cancelled while waiting for its connection, but completely written before this task
-            // ran: the upstream executes it, so the response is awaited.
+            // The attempt was cancelled while it waited for its connection, but its request was completely
+            // written before this task ran: the upstream executes it, so the response is awaited.
             Ok(Outcome::ConnectFailed) if progress.is_fully_written() => exchange.await,
             Ok(outcome) => return (outcome.into(), None),
             // The sender was dropped, so that nothing can cancel the attempt any more.
@@ -402,6 +413,8 @@
     })
 }
 
+/// Sends an attempt's request on an idle or a new connection and reads the response; also returns the
+/// connection if it may carry another request.
 async fn exchange(
     driver: &Rc<Driver>,
     spec: &AttemptSpec,
@@ -474,7 +487,7 @@
 async fn read_answer(driver: &Driver, response: Response<Incoming>) -> Option<AttemptResult> {
     let (head, body) = response.into_parts();
     let load = head.headers.get("x-load").and_then(|value| parse_load_report(driver, value));
-    // A request whose 503 or 504 lacks the mark, because it is the upstream's own or from a tier behind it,
+    // A 503 or 504 without `X-Not-Run: 1` is the upstream's own or from a tier behind it, so that the request
     // may have been executed.
     let not_run = matches!(head.status, StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT)
         && head.headers.get("x-not-run").is_some_and(|value| value.as_bytes() == b"1");
@@ -485,7 +498,7 @@
         (Some(encoding), None) => {
             encoding.as_bytes().eq_ignore_ascii_case(b"chunked") && !head.headers.contains_key(CONTENT_LENGTH)
         }
-        // Of several headers only the last would be looked at.
+        // Of several `Transfer-Encoding` headers only the last would be looked at.
         (Some(_), Some(_)) => false,
     };
     if !has_clear_end || body.size_hint().lower() > MAX_BODY_BYTES as u64 {
@@ -500,7 +513,8 @@
     Some(AttemptResult { outcome, body: (outcome == Outcome::Good).then_some(body), load })
 }
 
-/// Parses `name=value,name=value`; fields that the settings do not name are ignored.
+/// Parses an `X-Load` header of the form `name=value,name=value`; fields that the settings do not name are
+/// ignored.
 fn parse_load_report(driver: &Driver, value: &HeaderValue) -> Option<LoadReport> {
     let active_config = driver.active_config();
     let mut report = LoadReport::default();
--- a/proxy/src/upstream/tests.rs
+++ b/proxy/src/upstream/tests.rs
@@ -27,18 +27,19 @@
         let request = forwarded.to_http(Duration::from_millis(2500));
         let size = min_bytes_on_wire(&request, forwarded.body.len());
         let written = runtime.block_on(async {
-            let (near, mut far) = duplex(1 << 16);
+            let (balancer_end, mut upstream_end) = duplex(1 << 16);
             let (mut sender, connection) =
-                http1::handshake::<_, Full<Bytes>>(TokioIo::new(near)).await.expect("no bytes yet");
+                http1::handshake::<_, Full<Bytes>>(TokioIo::new(balancer_end)).await.expect("no bytes yet");
             let upstream = async {
                 let mut bytes = vec![0; size as usize];
-                far.read_exact(&mut bytes).await.expect("all computed bytes arrive");
-                far.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\nConnection: close\r\n\r\n")
+                upstream_end.read_exact(&mut bytes).await.expect("all computed bytes arrive");
+                upstream_end
+                    .write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\nConnection: close\r\n\r\n")
                     .await
                     .expect("read");
-                let mut more = Vec::new();
-                far.read_to_end(&mut more).await.expect("closed");
-                bytes.len() + more.len()
+                let mut excess = Vec::new();
+                upstream_end.read_to_end(&mut excess).await.expect("closed");
+                bytes.len() + excess.len()
             };
             let (answer, _, written) = tokio::join!(sender.send_request(request), connection, upstream);
             answer.expect("an answer");
@@ -55,20 +56,20 @@
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("starts");
     runtime.block_on(async {
         let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.expect("a free port");
-        let near = TcpStream::connect(listener.local_addr().expect("bound")).await.expect("accepted");
-        let far = listener.accept().await.expect("a connection").0.into_std().expect("free");
+        let balancer_end = TcpStream::connect(listener.local_addr().expect("bound")).await.expect("accepted");
+        let upstream_end = listener.accept().await.expect("a connection").0.into_std().expect("free");
         let traffic = Rc::new(Traffic { written_bytes: Cell::new(0), read_allowance: Cell::new(u64::MAX) });
-        let sockets = Rc::new(Cell::new(1));
-        let _permit = Permit::acquire(&sockets);
-        let mut near = CountedStream { stream: near, traffic, _permit };
-        assert_eq!(near.write(b"GET").await.expect("nothing received"), 3);
-        near.traffic.begin_request();
-        std::io::Write::write_all(&mut &far, b"HTTP/1.1 200 OK\r\n").expect("written");
-        while near.check_nothing_received().is_ok() {
+        let open_sockets = Rc::new(Cell::new(1));
+        let _permit = Permit::acquire(&open_sockets);
+        let mut balancer_end = CountedStream { stream: balancer_end, traffic, _permit };
+        assert_eq!(balancer_end.write(b"GET").await.expect("nothing received"), 3);
+        balancer_end.traffic.begin_request();
+        std::io::Write::write_all(&mut &upstream_end, b"HTTP/1.1 200 OK\r\n").expect("written");
+        while balancer_end.check_nothing_received().is_ok() {
             std::thread::yield_now();
         }
-        assert!(near.write(b"GET").await.is_err());
-        assert_eq!(near.traffic.written_bytes.get(), 0);
+        assert!(balancer_end.write(b"GET").await.is_err());
+        assert_eq!(balancer_end.traffic.written_bytes.get(), 0);
     });
 }
 
@@ -78,19 +79,20 @@
 fn a_connection_is_used_although_a_socket_option_cannot_be_set() {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("starts");
     tokio::task::LocalSet::new().block_on(&runtime, async {
-        let (near, far) = std::os::unix::net::UnixStream::pair().expect("free");
-        near.set_nonblocking(true).expect("a socket");
-        far.set_nonblocking(true).expect("a socket");
-        let near = std::net::TcpStream::from(std::os::fd::OwnedFd::from(near));
-        let near = TcpStream::from_std(near).expect("not blocking");
-        assert!(near.set_nodelay(true).is_err());
-        let mut far = tokio::net::UnixStream::from_std(far).expect("not blocking");
-        let sockets = Rc::new(Cell::new(0));
-        let mut connection = start_http(Permit::acquire(&sockets), near).await.expect("established");
+        let (balancer_end, upstream_end) = std::os::unix::net::UnixStream::pair().expect("free");
+        balancer_end.set_nonblocking(true).expect("a socket");
+        upstream_end.set_nonblocking(true).expect("a socket");
+        let balancer_end = std::net::TcpStream::from(std::os::fd::OwnedFd::from(balancer_end));
+        let balancer_end = TcpStream::from_std(balancer_end).expect("not blocking");
+        assert!(balancer_end.set_nodelay(true).is_err());
+        let mut upstream_end = tokio::net::UnixStream::from_std(upstream_end).expect("not blocking");
+        let open_sockets = Rc::new(Cell::new(0));
+        let mut connection =
+            start_http(Permit::acquire(&open_sockets), balancer_end).await.expect("established");
         connection.traffic.begin_request();
         let upstream = async {
-            let _ = far.read(&mut [0; 1024]).await.expect("a request arrives");
-            far.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n").await.expect("open");
+            let _ = upstream_end.read(&mut [0; 1024]).await.expect("a request arrives");
+            upstream_end.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n").await.expect("open");
         };
         let request = forwarded(Method::GET, b"").to_http(Duration::from_secs(1));
         let (answer, ()) = tokio::join!(connection.sender.send_request(request), upstream);
@@ -98,7 +100,8 @@
     });
 }
 
-/// Guards the same distinction for an attempt that is given up half-way.
+/// Guards the distinction between 'never executed' and 'may have been executed' for an attempt that is given
+/// up half-way.
 #[test]
 fn a_request_is_fully_written_with_its_last_byte() {
     let progress = Progress::default();
@@ -114,15 +117,15 @@
 }
 
 /// A driver whose list has one upstream, and an attempt to send there.
-fn spec_at(address: SocketAddr) -> (Rc<Driver>, AttemptSpec) {
+fn driver_and_spec(address: SocketAddr) -> (Rc<Driver>, AttemptSpec) {
     let text = CONFIGURATION.replace(r#""tryLimit": 3"#, r#""tryLimit": 3, "dialTimeoutS": 30"#);
     let driver =
         Driver::start(Config::parse(&text, |_| None).expect("a valid configuration")).expect("starts");
-    let listed = format!(
+    let initial_list = format!(
         r#"{{"snapshot": true, "endpoints": [
         {{"name": "s-1", "address": "{address}", "status": "ready"}}]}}"#
     );
-    driver.apply_update(0, serde_json::from_str(&listed).expect("a list"));
+    driver.apply_update(0, serde_json::from_str(&initial_list).expect("a list"));
     let requested_at = Instant::now();
     let spec = AttemptSpec {
         request: RequestId(1),
@@ -142,7 +145,8 @@
     std::future::poll_fn(|context| Poll::Ready(future.as_mut().poll(context))).await
 }
 
-/// Found on zone+brink: connections that were established late looked like congestion and cut the limits.
+/// Guards against connections that are established late looking like congestion and cutting the rate limits
+/// (found on zone+brink).
 /// The time of an attempt counts from when its connection was open, or, if it never was, from when the
 /// attempt was requested.
 #[test]
@@ -155,17 +159,19 @@
         socket.listen(0).expect("bound");
         let listener = std::net::TcpListener::from(socket);
         let address = listener.local_addr().expect("bound");
-        let filling: Vec<_> = (0..2)
+        let queue_fillers: Vec<_> = (0..2)
             .map(|_| std::net::TcpStream::connect_timeout(&address, Duration::from_millis(300)))
             .collect();
-        let (driver, spec) = spec_at(address);
+        let (driver, spec) = driver_and_spec(address);
         let requested_at = spec.requested_at;
         let progress = Progress::default();
         let mut exchange = std::pin::pin!(exchange(&driver, &spec, &progress));
-        let up = timeout(Duration::from_millis(100), exchange.as_mut()).await;
-        assert!(up.is_err() && progress.time_at_upstream(requested_at) >= Duration::from_millis(100));
+        let early_result = timeout(Duration::from_millis(100), exchange.as_mut()).await;
+        assert!(
+            early_result.is_err() && progress.time_at_upstream(requested_at) >= Duration::from_millis(100)
+        );
         let upstream = std::thread::spawn(move || {
-            drop(filling);
+            drop(queue_fillers);
             for mut stream in listener.incoming().flatten() {
                 use std::io::{Read, Write};
                 if stream.read(&mut [0; 1024]).is_ok_and(|bytes| bytes > 0) {
@@ -182,11 +188,11 @@
     });
 }
 
-/// Found on brink seed 61 of an own deployment: an attempt whose upstream began to drain was reported as
-/// never executed, although its request was completely written between the cancellation and the task's next
-/// turn. The cancellation may arrive before or after the request is written, and the task may run before or
-/// after. Only a request that is never written was never executed; any other is answered, unless its
-/// outcome is `Withdrawn`.
+/// Guards against a fault found on brink seed 61 of an own deployment: an attempt whose upstream began to
+/// drain was reported as never executed, although its request was completely written between the cancellation
+/// and the task's next turn. The cancellation may arrive before or after the request is written, and the task
+/// may run before or after. Only a request that is never written was never executed; any other is answered,
+/// unless its outcome is `Withdrawn`.
 #[test]
 fn an_attempt_written_while_it_is_cancelled_may_have_run() {
     #[derive(Debug, PartialEq)]
@@ -207,7 +213,7 @@
         let case = format!("{order:?}, {cancel_outcome:?}");
         tokio::task::LocalSet::new().block_on(&runtime, async {
             let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.expect("a free port");
-            let (driver, spec) = spec_at(listener.local_addr().expect("bound"));
+            let (driver, spec) = driver_and_spec(listener.local_addr().expect("bound"));
             let progress = Progress::default();
             let (cancel, cancelled) = oneshot::channel();
             let mut cancel = Some(cancel);
@@ -237,7 +243,7 @@
             }
             let mut upstream = listener.accept().await.expect("established").0;
             let (result, _connection) = match poll_once(attempt.as_mut()).await {
-                Poll::Ready(done) => done,
+                Poll::Ready(ended) => ended,
                 Poll::Pending => {
                     assert_eq!(outcome, Outcome::Good, "{case}: it continues");
                     let answer = b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\nConnection: close\r\n\r\n";
@@ -247,11 +253,11 @@
             };
             assert_eq!(result.outcome, outcome, "{case}");
             drop(attempt);
-            let mut read = Vec::new();
-            upstream.read_to_end(&mut read).await.expect("closed without a reset");
-            let is_complete = read.starts_with(b"GET /order?k=7f") && read.ends_with(b"\r\n\r\n");
+            let mut received = Vec::new();
+            upstream.read_to_end(&mut received).await.expect("closed without a reset");
+            let is_complete = received.starts_with(b"GET /order?k=7f") && received.ends_with(b"\r\n\r\n");
             assert_eq!(is_complete, order.contains(&Written), "{case}");
-            assert!(is_complete || read.is_empty(), "{case}");
+            assert!(is_complete || received.is_empty(), "{case}");
         });
     }
 }
