--- a/proxy/src/active_config.rs
+++ b/proxy/src/active_config.rs
@@ -107,6 +107,7 @@
         let machine_types =
             carry_over(NameList::MachineTypes, &self.assigned.machine_types, &names.machine_types)?;
         let new_settings = config.parsed_settings.settings;
+        // Tenants that the new settings lack keep their positions, but get a quota of 0.
         let removed_tenants = vec![Tenant { quota: Some(0.0) }; self.settings.tenants.len()];
         let settings = Settings {
             classes: replace_at(self.settings.classes.clone(), &new_settings.classes, &classes.positions),
--- a/proxy/src/discovery.rs
+++ b/proxy/src/discovery.rs
@@ -31,8 +31,8 @@
     pub endpoints: Vec<Endpoint>,
 }
 
-/// Parses each entry separately and skips malformed ones, so that one of them does not cost the others, which
-/// may include a drain.
+/// Parses each entry of an update separately and skips malformed ones: one malformed entry must not cost the
+/// other entries, which may include a drain.
 fn deserialize_endpoints<'de, D: Deserializer<'de>>(input: D) -> Result<Vec<Endpoint>, D::Error> {
     let raw: Vec<Box<RawValue>> = Vec::deserialize(input)?;
     let parse_entry = |raw: &RawValue| {
--- a/proxy/src/driver.rs
+++ b/proxy/src/driver.rs
@@ -534,7 +534,7 @@
                     let _ = in_flight.cancel.send(Outcome::ConnectFailed);
                 }
             }
-            // This program makes no health checks: where the settings allow them, they end as not sent.
+            // This program makes no health checks: where the settings allow one, it ends as not sent.
             Action::Probe { upstream } => core.events.push_back(Event::ProbeEnded {
                 upstream,
                 outcome: Outcome::NotSent,
--- a/proxy/src/lib.rs
+++ b/proxy/src/lib.rs
@@ -1,8 +1,8 @@
 //! A load balancer on real sockets. `stilelead-decision` makes all decisions; this crate turns what happens
 //! on the network into its events and carries out its actions.
 //!
-//! It runs on a single thread: [`driver::Driver`] owns the state in a `RefCell` that is never borrowed across
-//! an await.
+//! The balancer runs on a single thread: [`driver::Driver`] owns the state in a `RefCell` that is never
+//! borrowed across an await.
 
 pub mod active_config;
 pub mod clock;
--- a/proxy/src/server.rs
+++ b/proxy/src/server.rs
@@ -55,8 +55,8 @@
 const KILL_MARGIN: Duration = Duration::from_millis(200);
 /// Fraction of the drain time during which connections are served as before the drain: clients may have no
 /// other balancer until this one is back, and use their connections for as long as these stay open. A request
-/// that arrives at the end of it still has about 0.35 s for its answer, three times the median in r7000; with
-/// a fraction of 0.6, clients there were without a balancer for a second longer.
+/// that arrives at the end of that time still has about 0.35 s for its answer, three times the median in
+/// r7000; with a fraction of 0.6, clients there were without a balancer for a second longer.
 const DRAIN_OPEN_FRACTION: f64 = 0.9;
 /// Client connections that are kept free while a drain still serves connections as before: clients open no
 /// new connections to a balancer that is shutting down, and may take it for gone if none is free for a
@@ -103,8 +103,9 @@
 /// Whether the program serves as usual, or how far its drain has come.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Phase {
+    /// The program serves as usual.
     Serving,
-    /// Connections between requests are closed, the others after their answer.
+    /// Connections between requests are closed, those with a request in progress after its answer.
     Closing,
     /// Requests that have no answer yet fail.
     Ending,
@@ -345,8 +346,7 @@
         connection.busy.set(true);
         connection.used.set(true);
         async move {
-            // An attempt on an upstream needs a socket too, which idle client connections must not keep from
-            // it.
+            // An attempt needs a socket too; an idle client connection must not keep it from getting one.
             if driver.short_of_sockets() {
                 clients.evict_one();
             }
@@ -411,8 +411,8 @@
     }
     http_connection.as_mut().graceful_shutdown();
     // A connection between requests ends now, but one that never had a request still waits for the first. A
-    // new one is given a moment, because its request may already be in the socket, and is then closed like
-    // the others.
+    // new connection is given a moment, because its request may already be in the socket, and is then closed
+    // as well.
     if !connection.used.get() {
         tokio::select! {
             biased;
--- a/proxy/src/upstream.rs
+++ b/proxy/src/upstream.rs
@@ -83,7 +83,8 @@
 }
 
 impl Connection {
-    /// Whether a request may be sent on it: the last response is complete and the peer has not closed it.
+    /// Whether a request may be sent on the connection: the last response is complete and the peer has not
+    /// closed it.
     #[must_use]
     pub fn is_free(&self) -> bool {
         self.sender.is_ready()
@@ -111,7 +112,7 @@
     let (sender, connection) =
         http1::Builder::new().max_buf_size(MAX_HEAD_BYTES).handshake(TokioIo::new(io)).await?;
     let task = tokio::task::spawn_local(async move {
-        // An error also shows in the request that is in progress on it, if there is one.
+        // An error also shows in the request in progress on the connection, if there is one.
         let _ = connection.await;
     });
     Ok(Connection { sender, traffic, task: task.abort_handle() })
