--- a/scale/src/client/arrivals.rs
+++ b/scale/src/client/arrivals.rs
@@ -41,7 +41,7 @@
     pub offset: Duration,
     /// Hops from the client to the last node.
     pub hops: u32,
-    /// Request class.
+    /// Request class, which tells whether the call may be retried.
     pub class: Class,
     /// Number of the tenant that makes the call.
     pub tenant: u32,
--- a/scale/src/client/caller.rs
+++ b/scale/src/client/caller.rs
@@ -24,7 +24,7 @@
 /// Where calls go, which determines what is recorded about them.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Route {
-    /// Through balancers: everything is recorded.
+    /// Calls go through balancers, and everything about them is recorded.
     Balancers,
     /// Directly to nodes: only the latency of served calls is recorded.
     Nodes,
--- a/scale/src/client/connection.rs
+++ b/scale/src/client/connection.rs
@@ -48,7 +48,7 @@
 }
 
 impl Connection {
-    /// Opens a connection.
+    /// Opens a connection to a balancer or node.
     pub(super) async fn open(address: SocketAddr) -> io::Result<Self> {
         let stream = TcpStream::connect(address).await?;
         stream.set_nodelay(true)?;
--- a/scale/src/client/request.rs
+++ b/scale/src/client/request.rs
@@ -24,7 +24,7 @@
 pub(super) struct RequestBuilder {
     /// Hop number of the requests when they reach their targets.
     hop: u32,
-    /// Keyed by number of hops and tenant number.
+    /// URIs of read requests, keyed by number of hops and tenant number.
     read_uris: BTreeMap<(u32, u32), Uri>,
     order_uris: BTreeMap<(u32, u32), Uri>,
     host_headers: Vec<HeaderValue>,
--- a/scale/src/control/call_queue.rs
+++ b/scale/src/control/call_queue.rs
@@ -36,7 +36,7 @@
         Some(answer_at)
     }
 
-    /// Forgets all accepted calls.
+    /// Forgets all accepted calls, as a replica does when it restarts.
     pub(super) fn clear(&mut self) {
         self.free_at = None;
     }
--- a/scale/src/control/catalog.rs
+++ b/scale/src/control/catalog.rs
@@ -34,7 +34,7 @@
     changed: Vec<Arc<Endpoint>>,
 }
 
-/// One line of a watch.
+/// One line of a watch: a list update as it is written to a balancer.
 #[derive(Debug, Clone)]
 pub struct Line {
     /// The version that a watcher has after this line.
@@ -43,14 +43,14 @@
     pub text: Bytes,
 }
 
-/// The line with all changes since a version.
+/// A cached watch line with all changes since a version.
 #[derive(Debug, Clone)]
 struct Changes {
     since: u64,
     line: Line,
 }
 
-/// [`Update`] with borrowed entries.
+/// [`Update`] with borrowed entries, so that a list is written as JSON without being copied.
 #[derive(Serialize)]
 struct SerializedUpdate<'a> {
     index: u64,
@@ -72,7 +72,7 @@
         }
     }
 
-    /// The latest version.
+    /// The latest version of the list.
     #[must_use]
     pub fn version(&self) -> u64 {
         self.version
@@ -93,7 +93,7 @@
         self.publish(vec![endpoint], now)
     }
 
-    /// The whole list.
+    /// The whole list with its version.
     #[must_use]
     pub fn list(&self) -> Update {
         let endpoints = self.entries.values().map(|entry| Endpoint::clone(entry)).collect();
@@ -106,7 +106,7 @@
         Some(self.history.get(self.history_index(version)?)?.published_at)
     }
 
-    /// The line with the whole list.
+    /// The watch line with the whole list.
     pub fn full_list_line(&mut self) -> Line {
         let version = self.version;
         match &self.full_list {
--- a/scale/src/control/catalog/tests.rs
+++ b/scale/src/control/catalog/tests.rs
@@ -1,4 +1,4 @@
-//! Versions and history of a list.
+//! Tests of the versions and the change history of a member list.
 
 use super::*;
 
@@ -20,7 +20,7 @@
     serde_json::from_slice(&line.text).unwrap()
 }
 
-/// The entries of an update as `name status`.
+/// The entries of a list update as texts of the form `name status`, for comparison.
 fn entries_with_status(update: &Update) -> Vec<String> {
     update.endpoints.iter().map(|entry| format!("{} {}", entry.name, entry.status)).collect()
 }
--- a/scale/src/control/http.rs
+++ b/scale/src/control/http.rs
@@ -21,21 +21,21 @@
 /// The path of both the list and the watch.
 const MEMBERS_PATH: &str = "/catalog/members";
 
-/// A parsed request.
+/// A parsed request of a balancer to discovery.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Call {
-    /// The whole list.
+    /// A request for the whole list.
     List,
-    /// A watch of the changes after a version.
+    /// A request for a watch that streams the changes after a version.
     Watch {
-        /// The version that the caller has; 0 for none.
+        /// The list version that the balancer has; 0 for none.
         since: u64,
     },
     /// A request that discovery does not serve.
     Unknown,
 }
 
-/// Why a connection ends.
+/// Why a control connection ends.
 #[derive(Debug, Error)]
 pub(super) enum HttpError {
     /// The peer closed the connection, or it broke.
@@ -96,7 +96,7 @@
     Some(Call::Watch { since })
 }
 
-/// A response of known length.
+/// An HTTP response with the length of its body.
 pub(super) fn response(status: &str, body: &[u8]) -> Vec<u8> {
     let head = format!(
         "HTTP/1.1 {status}\r\nContent-Type: application/json\r\nContent-Length: {}\r\n\r\n",
@@ -105,7 +105,7 @@
     [head.as_bytes(), body].concat()
 }
 
-/// The head of a chunked response.
+/// The head of a chunked HTTP response, with which a watch begins.
 pub(super) fn chunked_response_head() -> &'static [u8] {
     b"HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nTransfer-Encoding: chunked\r\n\r\n"
 }
--- a/scale/src/control/http/tests.rs
+++ b/scale/src/control/http/tests.rs
@@ -1,4 +1,4 @@
-//! Request parsing, and peers that do not read.
+//! Tests of request parsing, and of writing to peers that do not read.
 
 use tokio::io::duplex;
 
--- a/scale/src/control/mod.rs
+++ b/scale/src/control/mod.rs
@@ -37,14 +37,14 @@
     /// The system has no port or descriptor left.
     #[error("cannot open a control port for balancer {balancer}: {cause}")]
     Port {
-        /// The balancer's name.
+        /// Name of the balancer whose control port cannot be opened.
         balancer: String,
         /// The operating system's error.
         cause: io::Error,
     },
 }
 
-/// The control plane. Dropping the last handle stops it.
+/// The simulated control plane. Dropping the last handle stops it.
 #[derive(Debug)]
 pub struct ControlPlane {
     lists: Arc<RegionalLists>,
--- a/scale/src/control/replica.rs
+++ b/scale/src/control/replica.rs
@@ -23,7 +23,7 @@
 /// Delay before the next accept after one failed, for example for lack of descriptors.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
-/// The control traffic of one balancer.
+/// Counts the control traffic of one balancer.
 #[derive(Debug, Default)]
 pub(super) struct Counters {
     pub(super) bytes: AtomicU64,
@@ -58,7 +58,7 @@
     pub(super) record: Arc<Record>,
 }
 
-/// How a connection ends: the peer closed it, or it has to be reset.
+/// How a control connection ends: the balancer closed it, or it has to be reset.
 #[derive(Debug)]
 pub(super) enum CloseReason {
     ClosedByPeer,
@@ -90,7 +90,7 @@
     }
 }
 
-/// Accepts connections; never returns.
+/// Accepts a balancer's connections; never returns.
 async fn accept(listener: &Arc<ReplicaListener>, connections: &mut JoinSet<()>) {
     let tcp_listener = listener.port.listener();
     loop {
@@ -167,7 +167,7 @@
     }
 }
 
-/// Writes to the balancer and counts the bytes.
+/// Writes to the balancer and counts the bytes as its control traffic.
 pub(super) async fn write(
     listener: &ReplicaListener,
     stream: &mut TcpStream,
--- a/scale/src/node/handler.rs
+++ b/scale/src/node/handler.rs
@@ -1,4 +1,4 @@
-//! Handles one request at a node.
+//! Handles one request at a simulated service node.
 
 use std::future::pending;
 use std::time::{Duration, Instant};
@@ -37,7 +37,7 @@
     if Limited::new(body, MAX_BODY_BYTES).collect().await.is_err() {
         return empty_response(StatusCode::BAD_REQUEST);
     }
-    // A request arrives when its last byte has been read.
+    // A request counts as arrived when its last byte has been read.
     let arrived = Instant::now();
     let response = match request {
         Err(RequestError::NoId) => empty_response(StatusCode::NOT_FOUND),
@@ -110,7 +110,7 @@
     }
 }
 
-/// Finishes a request at its last hop.
+/// Responds to a request at its last hop, or resets its connection, as the node model has drawn.
 async fn finish(node: &SocketNode, connection: &Connection, outcome: WorkOutcome) -> NodeResponse {
     match outcome {
         WorkOutcome::Served => response_with_load(node, StatusCode::OK, SERVED_BODY),
--- a/scale/src/node/model.rs
+++ b/scale/src/node/model.rs
@@ -28,9 +28,9 @@
 /// How the work of a request ends at its last hop. A node that calls the next service ignores it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum WorkOutcome {
-    /// Answered with 200.
+    /// The request is answered with 200.
     Served,
-    /// Answered with 500.
+    /// The request is answered with 500.
     Error,
     /// The connection is reset before a response.
     Reset,
@@ -39,7 +39,7 @@
 /// Whether a node takes a request that has been fully received.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Admission {
-    /// It runs, at once or after waiting in the queue.
+    /// The request runs, at once or after waiting in the queue.
     Runs {
         /// When its work is done, including the wait, counted from the start of the run.
         ends_at: Duration,
@@ -52,7 +52,7 @@
     Down,
 }
 
-/// The figures of a load report.
+/// The figures of a load report, which a node sends with its responses.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Load {
     /// Requests in work on a core.
@@ -65,7 +65,7 @@
     pub latency: Duration,
 }
 
-/// The model of one node.
+/// The model of one upstream node.
 #[derive(Debug)]
 pub struct NodeModel {
     work_s: f64,
@@ -81,7 +81,7 @@
     free_at: Vec<Duration>,
     /// When the work of each queued request starts, in order; at most as many as the queue holds.
     waiting_starts: VecDeque<Duration>,
-    /// The latest time passed in.
+    /// The latest time passed in by a caller; time never runs backwards.
     latest_time: Duration,
     utilization: f64,
     latency_s: f64,
@@ -218,8 +218,8 @@
         }
     }
 
-    /// No core is assigned work between the latest time and `now`, so each is busy from the former until it
-    /// is free.
+    /// The average utilization at `now`. No core is assigned work between the latest time and `now`, so each is
+    /// busy from the latest time until it is free.
     fn utilization_at(&self, now: Duration) -> f64 {
         let elapsed_s = now.saturating_sub(self.latest_time).as_secs_f64();
         if elapsed_s <= 0.0 {
--- a/scale/src/node/model/cold_overload.rs
+++ b/scale/src/node/model/cold_overload.rs
@@ -16,7 +16,7 @@
 }
 
 impl ColdOverload {
-    /// For a node that completes `warm_per_s` requests of mean work per second when warm.
+    /// Creates the detector for a node that completes `warm_per_s` requests of mean work per second when warm.
     pub(super) fn new(settings: &scenario::Node, warm_per_s: f64) -> Self {
         Self {
             window: warm_up::duration(settings.fall_s),
@@ -37,7 +37,7 @@
         overloaded
     }
 
-    /// Forgets all arrivals and frees their memory.
+    /// Forgets all recorded request arrivals and frees their memory.
     pub(super) fn clear(&mut self) {
         if self.arrived.capacity() > 0 {
             self.arrived = VecDeque::new();
--- a/scale/src/node/model/tests.rs
+++ b/scale/src/node/model/tests.rs
@@ -1,4 +1,4 @@
-//! The node model in simulated time.
+//! Tests of the node model in simulated time.
 
 use super::*;
 
@@ -53,7 +53,8 @@
     let mut node = NodeModel::new(&cold, 1);
     assert_eq!(ends_at(node.admit_request(ms(0))), ms(100));
     node.restart(ms(1000));
-    // 0.25 t + 0.0375 t^2 = 0.1 at t = 0.37851 s.
+    // The speed rises from 0.25 to 1 within 10 s, so the work done after t seconds is 0.25 t + 0.0375 t^2.
+    // It is 0.1 at t = 0.37851 s.
     assert_eq!(ends_at(node.admit_request(ms(1000))).as_micros(), 1_378_509);
     // Halfway through the warm-up it works at 0.625 of its speed.
     let took = ends_at(node.admit_request(ms(6000))) - ms(6000);
@@ -96,7 +97,7 @@
         scenario::Node { cold_share: 0.25, cold_s: 1e6, fall_multiple: 4.0, fall_s: 2.0, ..settings() };
     let mut node = NodeModel::new(&cold, 1);
     node.restart(ms(0));
-    // 25 per second are 50 in any window, within the limit of 54.6.
+    // 25 requests per second are 50 in any window of 2 s, within the limit of 54.6.
     for request in 0..5000 {
         assert_ne!(node.admit_request(ms(request * 40)), Admission::Down, "request {request}");
     }
@@ -143,12 +144,12 @@
 #[test]
 fn the_same_seed_draws_the_same() {
     let drawn = scenario::Node { work_fixed: false, error_share: 0.5, ..settings() };
-    let play = |seed| {
+    let draw_admissions = |seed| {
         let mut node = NodeModel::new(&drawn, seed);
         (0..100).map(|request| node.admit_request(ms(request * 30))).collect::<Vec<_>>()
     };
-    assert_eq!(play(3), play(3));
-    assert_ne!(play(3), play(4));
+    assert_eq!(draw_admissions(3), draw_admissions(3));
+    assert_ne!(draw_admissions(3), draw_admissions(4));
 }
 
 #[test]
--- a/scale/src/node/model/warm_up.rs
+++ b/scale/src/node/model/warm_up.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-/// Longest duration in the model, in seconds.
+/// Longest duration in the node model, in seconds; longer ones are cut to it.
 const MAX_DURATION_S: f64 = 1e9;
 
 /// The warm-up state of a node, from the time of its last restart.
@@ -20,7 +20,7 @@
         Self { cold_share: cold_share.clamp(0.0, 1.0), cold_s, started: None }
     }
 
-    /// Restarts the node at this time.
+    /// Restarts the node at this time, so that it is cold.
     pub(super) fn restart(&mut self, now: Duration) {
         self.started = Some(now);
     }
--- a/scale/src/node/order_history/tests.rs
+++ b/scale/src/node/order_history/tests.rs
@@ -1,4 +1,4 @@
-//! Repeated request ids and the bound on memory.
+//! Tests of the history: repeated request ids are found, and its memory is bounded.
 
 use super::*;
 
--- a/scale/src/node/precise_timer.rs
+++ b/scale/src/node/precise_timer.rs
@@ -42,7 +42,7 @@
 }
 
 impl PreciseTimer {
-    /// Starts the thread.
+    /// Starts the timer thread.
     ///
     /// # Errors
     /// The system cannot create a thread.
@@ -55,7 +55,7 @@
         Ok(Self { shared, thread: Some(thread) })
     }
 
-    /// Waits until this time; returns at once if it has passed.
+    /// Waits until the time `at`; returns at once if it has passed.
     pub(super) async fn wait_until(&self, at: Instant) {
         if at <= Instant::now() {
             return;
@@ -103,7 +103,7 @@
             if !due.is_empty() {
                 drop(waits);
                 for wait in due {
-                    // The waiting task may have been dropped.
+                    // Sending fails only if the waiting task has been dropped, and then nobody needs the result.
                     let _ = wait.done.send(());
                 }
                 waits = self.waits();
--- a/scale/src/node/precise_timer/tests.rs
+++ b/scale/src/node/precise_timer/tests.rs
@@ -1,4 +1,4 @@
-//! Waits end at their time, independent of the order in which they were added.
+//! Tests of the timer: waits end at their time, independent of the order in which they were added.
 
 use std::time::Duration;
 
--- a/scale/src/node/request.rs
+++ b/scale/src/node/request.rs
@@ -13,7 +13,7 @@
 /// The class whose requests must not run twice.
 const ORDER: &str = "order";
 
-/// Why a request is rejected.
+/// Why a node rejects a request as invalid.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 pub(super) enum RequestError {
     /// The request id is missing.
@@ -54,9 +54,9 @@
 /// The parsed head of a request.
 #[derive(Debug, Clone)]
 pub(super) struct NodeRequest {
-    /// The request id.
+    /// The request id, from the header `x-request-id`.
     pub(super) id: String,
-    /// Any class other than `order` counts as idempotent.
+    /// The request class; any class other than `order` counts as idempotent.
     pub(super) class: Class,
     /// Remaining hops to the last node, including this one.
     pub(super) hops: u32,
--- a/scale/src/node/request/tests.rs
+++ b/scale/src/node/request/tests.rs
@@ -1,4 +1,4 @@
-//! Parsing of request heads.
+//! Tests of the parsing of request heads.
 
 use hyper::Request;
 
--- a/scale/src/node/server.rs
+++ b/scale/src/node/server.rs
@@ -29,7 +29,7 @@
     /// The system has no port or descriptor left.
     #[error("cannot open a port for node {node}: {cause}")]
     Port {
-        /// The node's name.
+        /// Name of the node whose port cannot be opened.
         node: String,
         /// The operating system's error.
         cause: io::Error,
--- a/scale/src/node/socket.rs
+++ b/scale/src/node/socket.rs
@@ -50,10 +50,10 @@
     open_connections: AtomicU32,
 }
 
-/// A connection, as the requests on it use it.
+/// The state of a connection that the requests on it share.
 #[derive(Debug)]
 pub(super) struct Connection {
-    /// The node had reached its connection limit before this one.
+    /// Whether the node had reached its connection limit before this connection, whose requests then do not run.
     pub(super) over_limit: bool,
     /// Requests a reset of the connection.
     pub(super) reset_requested: Notify,
--- a/scale/src/process/error.rs
+++ b/scale/src/process/error.rs
@@ -22,7 +22,7 @@
     Spawn {
         /// Name of the balancer.
         name: String,
-        /// Path of the program.
+        /// Path of the balancer program that cannot be started.
         program: PathBuf,
         /// The underlying error.
         cause: io::Error,
@@ -58,9 +58,9 @@
     Exited {
         /// Name of the balancer.
         name: String,
-        /// Exit status of the process.
+        /// Exit status of the balancer process that has ended.
         status: ExitStatus,
-        /// The last lines of its log.
+        /// The last lines of the log of the process.
         log: String,
     },
     /// The process runs but has not reached the expected state in time.
@@ -70,9 +70,9 @@
         name: String,
         /// The expected state.
         state: &'static str,
-        /// How long it was waited for.
+        /// How long the tool waited before it gave up.
         within: Duration,
-        /// The last lines of its log.
+        /// The last lines of the log of the process.
         log: String,
     },
     /// The process cannot be signalled or waited for.
--- a/scale/src/process/settings.rs
+++ b/scale/src/process/settings.rs
@@ -21,7 +21,7 @@
 const MACHINE_TYPE: &str = "std";
 /// Fraction of the deadline within which an answer has its full value: the latency target.
 const LATENCY_TARGET_FRACTION: f64 = 0.5;
-/// Request quota of each tenant: more than any run makes.
+/// Request quota of each tenant, higher than the rate of any run, so that no request is over quota.
 const TENANT_QUOTA_PER_S: f64 = 1e6;
 /// Maximum attempts per request.
 const MAX_ATTEMPTS: u32 = 3;
--- a/scale/src/process/settings/tests.rs
+++ b/scale/src/process/settings/tests.rs
@@ -44,7 +44,7 @@
     Update { index: 41, snapshot: true, endpoints: vec![endpoint] }
 }
 
-/// What the balancer's parser makes of the text for a balancer.
+/// Parses the settings text of a balancer with the parser that the balancer itself uses.
 fn parse_configuration(
     scenario: &Scenario,
     balancer: BalancerId,
--- a/scale/src/record.rs
+++ b/scale/src/record.rs
@@ -31,7 +31,7 @@
 /// The outcome of a call by a client (the first hop), including the client's own retries.
 #[derive(Debug, Clone, Copy)]
 pub struct Call {
-    /// Whether it went to a real or a hollow (simulated, in-process) balancer.
+    /// Whether the call went to a real or a hollow (simulated, in-process) balancer.
     pub balancer_kind: BalancerKind,
     /// Hops from the client to the last node.
     pub hops: u32,
@@ -120,7 +120,7 @@
 }
 
 impl DurationHistogram {
-    /// Adds a duration.
+    /// Adds a measured duration to the histogram.
     pub fn add(&mut self, duration: Duration) {
         self.0.saturating_record(u64::try_from(duration.as_micros()).unwrap_or(MAX_DURATION_US).max(1));
     }
--- a/scale/src/topology.rs
+++ b/scale/src/topology.rs
@@ -16,7 +16,7 @@
 #[derive(Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct BalancerId(pub usize);
 
-/// Log events name the index of a balancer `CopyId`.
+/// Log events write the index of a balancer `CopyId`.
 impl fmt::Debug for BalancerId {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         formatter.debug_tuple("CopyId").field(&self.0).finish()
@@ -49,7 +49,7 @@
     pub balancer_kind: BalancerKind,
     /// Service that its nodes call for requests with more hops.
     pub next_service: ServiceId,
-    /// Nodes of the service.
+    /// Nodes of the service, any of which can serve its requests.
     pub nodes: Vec<NodeId>,
     /// Balancers that send requests to it.
     pub balancers: Vec<BalancerId>,
--- a/scale/tests/control.rs
+++ b/scale/tests/control.rs
@@ -1,4 +1,4 @@
-//! The simulated control plane on loopback.
+//! Tests of the simulated control plane on loopback sockets.
 
 use std::io;
 use std::sync::Arc;
--- a/scale/tests/nodes.rs
+++ b/scale/tests/nodes.rs
@@ -1,4 +1,4 @@
-//! The simulated nodes on loopback.
+//! Tests of the simulated nodes on loopback sockets.
 
 use std::io;
 use std::net::SocketAddr;
--- a/tests/suppressor.rs
+++ b/tests/suppressor.rs
@@ -175,7 +175,7 @@
     assert_eq!(denied_after_rejections(1, Outcome::ConnectFailed, 20), 0);
 }
 
-/// Guards against taking a failed connect for congestion, as found in the test scenario zone+brink: requests
+/// Guards against taking a failed connect for congestion, as found in the test day zone+brink: requests
 /// missed their target because a connection did not open, although another upstream then served them at once.
 #[test]
 fn requests_delayed_by_a_failed_connect_do_not_lower_the_limit() {
@@ -250,7 +250,7 @@
     denied
 }
 
-/// Guards against taking faults for congestion, as found in the test scenario zone+brink: a fifth of the
+/// Guards against taking faults for congestion, as found in the test day zone+brink: a fifth of the
 /// requests failed because of faults in the tiers below, while nearly idle servers served the others as fast
 /// as before, and the limits fell to their floors. If latency rises as well, errors do count as congestion.
 #[test]
@@ -421,7 +421,7 @@
     assert!(requests_per_s < 0.4, "{requests_per_s} requests per second admitted by each replica");
 }
 
-/// Guards against taking short deadlines for congestion, as found in the test scenario r7909: the requests of
+/// Guards against taking short deadlines for congestion, as found in the recorded day r7909: the requests of
 /// one tenant, which waits for a fraction of the typical latency, failed, and the limits of all tenants fell
 /// to their floors.
 #[test]
@@ -454,7 +454,7 @@
     }
 }
 
-/// Guards against denying all requests after a decrease, as found in the test scenario r7000: until the
+/// Guards against denying all requests after a decrease, as found in the recorded day r7000: until the
 /// requests admitted under the old limit had left the window, nothing was admitted for more than a second
 /// although servers were idle.
 #[test]
