--- a/scale/src/client/caller.rs
+++ b/scale/src/client/caller.rs
@@ -26,7 +26,7 @@
 pub(super) enum Route {
     /// Calls go through balancers, and everything about them is recorded.
     Balancers,
-    /// Directly to nodes: only the latency of served calls is recorded.
+    /// Calls go directly to nodes, and only the latency of served calls is recorded.
     Nodes,
 }
 
@@ -41,7 +41,7 @@
     }
 }
 
-/// Time limits of calls.
+/// Time limits of the clients' calls.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Limits {
     /// How long a client waits for its answer, including retries.
@@ -76,7 +76,7 @@
 /// What happened to a request on one connection.
 #[derive(Debug)]
 enum SendOutcome {
-    /// The attempt is over.
+    /// The attempt has ended with this outcome.
     Finished(AttemptOutcome),
     /// The connection was closed before the request was written; the request can go on another one.
     NotSent,
@@ -85,7 +85,7 @@
     ClosedInFlight,
 }
 
-/// Makes the calls of one route.
+/// Makes the calls of one route: through balancers, or directly to nodes.
 #[derive(Debug)]
 pub(super) struct Caller {
     route: Route,
--- a/scale/src/client/connection.rs
+++ b/scale/src/client/connection.rs
@@ -25,7 +25,7 @@
     has_answered: bool,
 }
 
-/// An answer that was received completely.
+/// An answer to a client's request that was received completely.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Answer {
     pub(super) status: StatusCode,
--- a/scale/src/client/dispatch.rs
+++ b/scale/src/client/dispatch.rs
@@ -18,7 +18,7 @@
 /// Minimum time between two log events about overload.
 const MIN_LOG_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Stops the dispatch when dropped.
+/// Stops starting new calls when dropped.
 struct StopOnDrop(Arc<AtomicBool>);
 
 impl Drop for StopOnDrop {
@@ -60,7 +60,7 @@
 struct Dispatch {
     caller: Arc<Caller>,
     load_start: Instant,
-    /// Maximum calls in flight.
+    /// Maximum calls in flight; calls beyond it are recorded as failed and not sent.
     max_in_flight: usize,
     stop_requested: Arc<AtomicBool>,
     runtime: Handle,
--- a/scale/src/client/pool.rs
+++ b/scale/src/client/pool.rs
@@ -6,7 +6,7 @@
 
 use super::connection::Connection;
 
-/// Keep-alive connections to one address.
+/// Keep-alive connections of the clients to one balancer or node.
 #[derive(Debug)]
 pub(super) struct Pool {
     address: SocketAddr,
--- a/scale/src/client/tests/open_loop.rs
+++ b/scale/src/client/tests/open_loop.rs
@@ -31,7 +31,7 @@
     let scenario = scenario();
     let count = Arrivals::to_balancers(&scenario, 1).count();
     assert!(count > 20, "{count}");
-    // Only an open loop has all of them in flight at once.
+    // Only clients that never wait for earlier answers (an open loop) have all calls in flight at once.
     let server = server_waiting_for(count);
     let record = Arc::<Record>::default();
     let topology = Topology::of(&scenario.fleet);
@@ -43,6 +43,7 @@
     assert_eq!((measured.client_lag_us.count(), measured.client_unsent), (count as u64, 0));
 }
 
+/// Guards against calls that are lost from the record, whatever the server replies.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn every_call_has_an_end() {
     let mut scenario = scenario();
--- a/scale/src/client/tests/server.rs
+++ b/scale/src/client/tests/server.rs
@@ -1,4 +1,4 @@
-//! A scripted HTTP server on loopback.
+//! A scripted HTTP server on loopback, for tests of the clients.
 
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{Ipv4Addr, SocketAddr, TcpListener, TcpStream};
@@ -10,11 +10,11 @@
 /// A request that the server has received.
 #[derive(Debug, Clone)]
 pub(super) struct ReceivedRequest {
-    /// Number of its connection, from 0.
+    /// Number of the connection that carried the request, from 0.
     pub(super) connection: usize,
     /// Number of the request on its connection, from 0.
     pub(super) number: usize,
-    /// Method and path.
+    /// Method and path, from the request line.
     pub(super) line: String,
     pub(super) headers: Vec<(String, String)>,
     pub(super) received_at: Instant,
--- a/scale/src/control/catalog.rs
+++ b/scale/src/control/catalog.rs
@@ -137,16 +137,16 @@
         if since == self.version && since > 0 {
             return Some(BTreeMap::new());
         }
-        let first = if since > 0 { self.history_index(since + 1)? } else { return None };
-        let versions = self.history.range(first..);
+        let first_index = if since > 0 { self.history_index(since + 1)? } else { return None };
+        let versions = self.history.range(first_index..);
         let changed = versions.flat_map(|version| &version.changed);
         Some(changed.map(|entry| (entry.name.as_str(), entry.as_ref())).collect())
     }
 
-    /// The index of a version in the history.
+    /// The index of a version in the history; `None` if the history does not hold it.
     fn history_index(&self, version: u64) -> Option<usize> {
-        let age = usize::try_from(self.version.checked_sub(version)?).ok()?;
-        self.history.len().checked_sub(age + 1)
+        let versions_back = usize::try_from(self.version.checked_sub(version)?).ok()?;
+        self.history.len().checked_sub(versions_back + 1)
     }
 
     /// Publishes the entries that differ from the list as a new version.
--- a/scale/src/control/catalog/tests.rs
+++ b/scale/src/control/catalog/tests.rs
@@ -70,24 +70,24 @@
 fn setting_a_list_publishes_only_the_differences() {
     let mut catalog = Catalog::new(10);
     let now = Instant::now();
-    let first = catalog.set_list(vec![endpoint("a", "ready"), endpoint("b", "ready")], now);
-    assert_eq!(catalog.set_list(vec![endpoint("b", "ready"), endpoint("a", "ready")], now), first);
-    assert_eq!(catalog.update_entry(endpoint("z", "gone"), now), first);
-    let second = catalog.set_list(vec![endpoint("b", "ready"), endpoint("c", "draining")], now);
-    assert_eq!(second, first + 1);
-    assert_eq!(entries_with_status(&read(&catalog.changes_line(first))), ["a gone", "c draining"]);
+    let first_version = catalog.set_list(vec![endpoint("a", "ready"), endpoint("b", "ready")], now);
+    assert_eq!(catalog.set_list(vec![endpoint("b", "ready"), endpoint("a", "ready")], now), first_version);
+    assert_eq!(catalog.update_entry(endpoint("z", "gone"), now), first_version);
+    let second_version = catalog.set_list(vec![endpoint("b", "ready"), endpoint("c", "draining")], now);
+    assert_eq!(second_version, first_version + 1);
+    assert_eq!(entries_with_status(&read(&catalog.changes_line(first_version))), ["a gone", "c draining"]);
 }
 
 #[test]
 fn cached_lines_are_rebuilt_after_a_list_change() {
     let mut catalog = Catalog::new(10);
     let now = Instant::now();
-    let first = catalog.update_entry(endpoint("a", "ready"), now);
+    let first_version = catalog.update_entry(endpoint("a", "ready"), now);
     catalog.update_entry(endpoint("b", "ready"), now);
-    assert_eq!(entries_with_status(&read(&catalog.changes_line(first))), ["b ready"]);
+    assert_eq!(entries_with_status(&read(&catalog.changes_line(first_version))), ["b ready"]);
     assert_eq!(entries_with_status(&read(&catalog.full_list_line())), ["a ready", "b ready"]);
     catalog.update_entry(endpoint("c", "ready"), now);
-    assert_eq!(entries_with_status(&read(&catalog.changes_line(first))), ["b ready", "c ready"]);
-    assert_eq!(entries_with_status(&read(&catalog.changes_line(first + 1))), ["c ready"]);
+    assert_eq!(entries_with_status(&read(&catalog.changes_line(first_version))), ["b ready", "c ready"]);
+    assert_eq!(entries_with_status(&read(&catalog.changes_line(first_version + 1))), ["c ready"]);
     assert_eq!(entries_with_status(&read(&catalog.full_list_line())), ["a ready", "b ready", "c ready"]);
 }
--- a/scale/src/control/http.rs
+++ b/scale/src/control/http.rs
@@ -76,8 +76,10 @@
 }
 
 fn head_end(text: &[u8]) -> Option<usize> {
-    const END: &[u8] = b"\r\n\r\n";
-    text.windows(END.len()).position(|window| window == END).map(|index| index + END.len())
+    const HEAD_TERMINATOR: &[u8] = b"\r\n\r\n";
+    text.windows(HEAD_TERMINATOR.len())
+        .position(|window| window == HEAD_TERMINATOR)
+        .map(|index| index + HEAD_TERMINATOR.len())
 }
 
 fn parse_call(head: &[u8]) -> Option<Call> {
@@ -88,11 +90,12 @@
     if method != "GET" || path != MEMBERS_PATH {
         return Some(Call::Unknown);
     }
-    let value = |name| query.split('&').filter_map(|part| part.split_once('=')).find(|(key, _)| *key == name);
-    if value("follow").is_none_or(|(_, value)| value != "1") {
+    let query_parameter =
+        |name| query.split('&').filter_map(|part| part.split_once('=')).find(|(key, _)| *key == name);
+    if query_parameter("follow").is_none_or(|(_, value)| value != "1") {
         return Some(Call::List);
     }
-    let since = value("since").map_or(Some(0), |(_, since)| since.parse().ok())?;
+    let since = query_parameter("since").map_or(Some(0), |(_, since)| since.parse().ok())?;
     Some(Call::Watch { since })
 }
 
--- a/scale/src/control/watch.rs
+++ b/scale/src/control/watch.rs
@@ -64,9 +64,9 @@
     line: Line,
 ) -> Result<u64, CloseReason> {
     write(listener, stream, &http::chunk(&line.text)).await?;
-    let before = listener.delivered_version.fetch_max(line.version, Ordering::Relaxed);
+    let previous_version = listener.delivered_version.fetch_max(line.version, Ordering::Relaxed);
     if listener.balancer_kind == BalancerKind::Real && since > 0 {
-        record_delivery_delay(listener, since.max(before), line.version);
+        record_delivery_delay(listener, since.max(previous_version), line.version);
     }
     Ok(line.version)
 }
--- a/scale/src/faults.rs
+++ b/scale/src/faults.rs
@@ -11,25 +11,28 @@
 use crate::scenario::{Fault, FaultKind};
 use crate::topology::{BalancerId, BalancerKind, NodeId, RegionId, Topology, ZoneId};
 
-/// Range of the delay after which control detects a silent node, in seconds.
+/// Range of the delay after which the control plane detects a silent node, in seconds.
 const DETECTION_DELAY_S: std::ops::Range<f64> = 1.0..4.0;
 /// A rack holds this fraction of a zone's nodes: one in ten.
 const RACKS_PER_ZONE: usize = 10;
-/// Phases of a restart, counted from its start: control lists the node as gone, it stops, it starts, and
-/// control lists it as ready.
+/// Time from the start of a restart, when the node is listed as draining, until the control plane lists it as
+/// gone.
 const GONE_DELAY: Duration = Duration::from_millis(1000);
+/// Time from the start of a restart until the process of the node stops.
 const STOP_DELAY: Duration = Duration::from_millis(1200);
+/// Time from the start of a restart until the process of the node runs again.
 const START_DELAY: Duration = Duration::from_millis(2000);
+/// Time from the start of a restart until the control plane lists the node as ready.
 const READY_DELAY: Duration = Duration::from_millis(2200);
 /// Interval between the restarts of nodes that restart one after another, in seconds.
 pub const RESTART_INTERVAL_S: f64 = 2.4;
-/// Delay from when a lost node is back to when control lists it again.
+/// Delay from when a lost node is back until the control plane lists it again.
 const RELISTED_DELAY: Duration = Duration::from_millis(200);
-/// The `count` of a release is a percentage of each service's nodes.
+/// Divisor of the `count` of a release, which is a percentage of each service's nodes.
 const PERCENT: usize = 100;
 
 impl Fault {
-    /// The end of the fault, in seconds from the start of the load.
+    /// When the fault is over, in seconds from the start of the load.
     #[must_use]
     pub fn ends_s(&self) -> f64 {
         match self.kind {
@@ -46,7 +49,8 @@
     FaultPeriod { kind: fault.kind, at_s: fault.at_s, ends_s: fault.ends_s() }
 }
 
-/// The steps of a fault.
+/// The timed steps that cause a fault and end it. `random` draws the affected nodes and balancers, and
+/// the delay after which the control plane detects a lost node.
 pub fn steps(fault: &Fault, topology: &Topology, random: &mut ChaCha8Rng) -> Vec<Step> {
     match fault.kind {
         FaultKind::MachineLost => nodes_lost(fault, &random_nodes(fault, topology, random), random),
@@ -79,7 +83,8 @@
     zone.choose_multiple(random, size).copied().collect()
 }
 
-/// The nodes fall silent, control detects it after a delay, and at the end they come back as after a restart.
+/// The steps of a loss of nodes: they stop answering, the control plane detects it after a delay, and at the
+/// end they come back as after a restart.
 fn nodes_lost(fault: &Fault, nodes: &[NodeId], random: &mut ChaCha8Rng) -> Vec<Step> {
     let start = duration_from_seconds(fault.at_s);
     let end = duration_from_seconds(fault.ends_s());
@@ -100,7 +105,7 @@
     steps
 }
 
-/// The nodes restart one after another.
+/// The steps of a fault in which the nodes restart one after another.
 fn restarts(fault: &Fault, nodes: &[NodeId]) -> Vec<Step> {
     let starts =
         (0..).map(|number| duration_from_seconds(fault.at_s + f64::from(number) * RESTART_INTERVAL_S));
@@ -133,8 +138,8 @@
     steps
 }
 
-/// A region loses contact with all others. This affects control, the hollow balancers, and the nodes to which
-/// real balancers in another region send.
+/// A region loses contact with all others. This affects the control plane, the hollow balancers, and the
+/// nodes to which real balancers in another region send.
 fn region_cut(fault: &Fault, topology: &Topology) -> Vec<Step> {
     let region = RegionId(fault.place);
     let across = nodes_across(region, topology);
--- a/scale/src/node/balancer_client.rs
+++ b/scale/src/node/balancer_client.rs
@@ -50,7 +50,9 @@
 #[derive(Debug, Clone)]
 pub(super) struct NextCall {
     pub(super) class: Class,
+    /// Remaining hops to the last node, including the one at the next service.
     pub(super) hops: u32,
+    /// Number of the hop at the next service, counted from 1.
     pub(super) hop: u32,
     pub(super) tenant: Option<String>,
     /// Time until the deadline, if the caller set one.
@@ -69,6 +71,7 @@
 #[derive(Debug, Default)]
 struct Pool {
     address: Option<SocketAddr>,
+    /// Connections without a request in flight; the most recently used one is last.
     idle: Vec<Sender>,
 }
 
@@ -194,8 +197,8 @@
 
     /// Returns the next id: a counter mixed by splitmix64, which is a bijection, so that no id repeats.
     fn next(&self) -> String {
-        const STEP: u64 = 0x9e37_79b9_7f4a_7c15;
-        let mut mixed = self.0.fetch_add(STEP, Ordering::Relaxed);
+        const COUNTER_INCREMENT: u64 = 0x9e37_79b9_7f4a_7c15;
+        let mut mixed = self.0.fetch_add(COUNTER_INCREMENT, Ordering::Relaxed);
         mixed = (mixed ^ (mixed >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
         mixed = (mixed ^ (mixed >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
         format!("{:016x}", mixed ^ (mixed >> 31))
--- a/scale/src/node/model.rs
+++ b/scale/src/node/model.rs
@@ -68,8 +68,11 @@
 /// The model of one upstream node.
 #[derive(Debug)]
 pub struct NodeModel {
+    /// Mean work of a request, in seconds of one core at full speed.
     work_s: f64,
+    /// Whether each request has exactly the mean work; otherwise its work is drawn at random.
     work_fixed: bool,
+    /// Work of setting up a connection, in seconds of one core.
     connect_s: f64,
     error_share: f64,
     reset_share: f64,
@@ -85,7 +88,8 @@
     latest_time: Duration,
     utilization: f64,
     latency_s: f64,
-    down: bool,
+    /// Whether the node collapsed while cold and has not been restarted since.
+    has_collapsed: bool,
 }
 
 impl NodeModel {
@@ -109,7 +113,7 @@
             latest_time: Duration::ZERO,
             utilization: 0.0,
             latency_s: work_s,
-            down: false,
+            has_collapsed: false,
         }
     }
 
@@ -122,14 +126,14 @@
         self.waiting_starts.clear();
         self.utilization = 0.0;
         self.latency_s = self.work_s;
-        self.down = false;
+        self.has_collapsed = false;
     }
 
     /// Admits a request that has been fully received.
     pub fn admit_request(&mut self, now: Duration) -> Admission {
         self.advance(now);
         self.count_cold_request();
-        if self.down {
+        if self.has_collapsed {
             return Admission::Down;
         }
         let (core, start) = self.first_free_core();
@@ -158,27 +162,27 @@
     pub fn load(&self, now: Duration) -> Load {
         let now = now.max(self.latest_time);
         let active = self.free_at.iter().filter(|free_at| **free_at > now).count();
-        let started = self.waiting_starts.partition_point(|start| *start <= now);
+        let started_count = self.waiting_starts.partition_point(|start| *start <= now);
         Load {
             active: u32::try_from(active).unwrap_or(u32::MAX),
-            waiting: u32::try_from(self.waiting_starts.len() - started).unwrap_or(u32::MAX),
+            waiting: u32::try_from(self.waiting_starts.len() - started_count).unwrap_or(u32::MAX),
             utilization: self.utilization_at(now),
-            latency: warm_up::duration(self.latency_s),
+            latency: warm_up::duration_from_seconds(self.latency_s),
         }
     }
 
     /// Whether the node collapsed while cold and has not been restarted since.
     #[must_use]
     pub fn is_down(&self) -> bool {
-        self.down
+        self.has_collapsed
     }
 
     /// Advances the time to `now`.
     fn advance(&mut self, now: Duration) {
         let now = now.max(self.latest_time);
         self.utilization = self.utilization_at(now);
-        let started = self.waiting_starts.partition_point(|start| *start <= now);
-        self.waiting_starts.drain(..started);
+        let started_count = self.waiting_starts.partition_point(|start| *start <= now);
+        self.waiting_starts.drain(..started_count);
         self.latest_time = now;
     }
 
@@ -187,14 +191,14 @@
         if self.warm_up.is_warm(self.latest_time) {
             self.cold_overload.clear();
         } else if self.cold_overload.add(self.latest_time, self.warm_up.speed(self.latest_time)) {
-            self.down = true;
+            self.has_collapsed = true;
         }
     }
 
     /// The core that is free first, and when it can start new work.
     fn first_free_core(&self) -> (usize, Duration) {
-        let first = self.free_at.iter().copied().enumerate().min_by_key(|(_, free_at)| *free_at);
-        let (core, free_at) = first.unwrap_or_default();
+        let earliest = self.free_at.iter().copied().enumerate().min_by_key(|(_, free_at)| *free_at);
+        let (core, free_at) = earliest.unwrap_or_default();
         (core, free_at.max(self.latest_time))
     }
 
@@ -203,32 +207,33 @@
         if self.work_fixed {
             return self.work_s;
         }
-        let chance: f64 = self.random.random();
-        -(1.0 - chance).ln() * self.work_s
+        let uniform_draw: f64 = self.random.random();
+        -(1.0 - uniform_draw).ln() * self.work_s
     }
 
     fn draw_outcome(&mut self) -> WorkOutcome {
-        let chance: f64 = self.random.random();
-        if chance < self.error_share {
+        let uniform_draw: f64 = self.random.random();
+        if uniform_draw < self.error_share {
             WorkOutcome::Error
-        } else if chance < self.error_share + self.reset_share {
+        } else if uniform_draw < self.error_share + self.reset_share {
             WorkOutcome::Reset
         } else {
             WorkOutcome::Served
         }
     }
 
-    /// The average utilization at `now`. No core is assigned work between the latest time and `now`, so each is
-    /// busy from the latest time until it is free.
+    /// The average utilization at `now`. No core is assigned work between the latest time and `now`, so each
+    /// is busy from the latest time until it is free.
     fn utilization_at(&self, now: Duration) -> f64 {
         let elapsed_s = now.saturating_sub(self.latest_time).as_secs_f64();
         if elapsed_s <= 0.0 {
             return self.utilization;
         }
-        let busy = |free_at: &Duration| (*free_at).min(now).saturating_sub(self.latest_time).as_secs_f64();
-        let busy_s: f64 = self.free_at.iter().map(busy).sum();
-        let share = busy_s / (elapsed_s * self.free_at.len() as f64);
+        let busy_core_s =
+            |free_at: &Duration| (*free_at).min(now).saturating_sub(self.latest_time).as_secs_f64();
+        let busy_s: f64 = self.free_at.iter().map(busy_core_s).sum();
+        let busy_share = busy_s / (elapsed_s * self.free_at.len() as f64);
         let decay = (-elapsed_s / UTILIZATION_WINDOW_S).exp();
-        share + (self.utilization - share) * decay
+        busy_share + (self.utilization - busy_share) * decay
     }
 }
--- a/scale/src/node/model/cold_overload.rs
+++ b/scale/src/node/model/cold_overload.rs
@@ -16,10 +16,11 @@
 }
 
 impl ColdOverload {
-    /// Creates the detector for a node that completes `warm_per_s` requests of mean work per second when warm.
+    /// Creates the detector for a node that completes `warm_per_s` requests of mean work per second when
+    /// warm.
     pub(super) fn new(settings: &scenario::Node, warm_per_s: f64) -> Self {
         Self {
-            window: warm_up::duration(settings.fall_s),
+            window: warm_up::duration_from_seconds(settings.fall_s),
             max_warm_requests: settings.fall_multiple * settings.fall_s * warm_per_s,
             arrived: VecDeque::new(),
         }
@@ -27,8 +28,8 @@
 
     /// Counts a request at the node's current speed; returns whether it makes the node collapse.
     pub(super) fn add(&mut self, now: Duration, speed: f64) -> bool {
-        let expired = self.arrived.partition_point(|at| *at + self.window <= now);
-        self.arrived.drain(..expired);
+        let expired_count = self.arrived.partition_point(|at| *at + self.window <= now);
+        self.arrived.drain(..expired_count);
         self.arrived.push_back(now);
         let overloaded = self.arrived.len() as f64 > with_random_slack(self.max_warm_requests * speed);
         if overloaded {
--- a/scale/src/node/model/tests.rs
+++ b/scale/src/node/model/tests.rs
@@ -57,8 +57,8 @@
     // It is 0.1 at t = 0.37851 s.
     assert_eq!(ends_at(node.admit_request(ms(1000))).as_micros(), 1_378_509);
     // Halfway through the warm-up it works at 0.625 of its speed.
-    let took = ends_at(node.admit_request(ms(6000))) - ms(6000);
-    assert!(took > ms(158) && took < ms(160), "{took:?}");
+    let work_duration = ends_at(node.admit_request(ms(6000))) - ms(6000);
+    assert!(work_duration > ms(158) && work_duration < ms(160), "{work_duration:?}");
     assert_eq!(ends_at(node.admit_request(ms(11_000))), ms(11_100));
 }
 
--- a/scale/src/node/model/warm_up.rs
+++ b/scale/src/node/model/warm_up.rs
@@ -11,23 +11,23 @@
     cold_share: f64,
     cold_s: f64,
     /// The last restart; `None` if the node has been warm from the start.
-    started: Option<Duration>,
+    restarted_at: Option<Duration>,
 }
 
 impl WarmUp {
     /// A warm node that restarts at `cold_share` of its speed and is warm again after `cold_s` seconds.
     pub(super) fn new(cold_share: f64, cold_s: f64) -> Self {
-        Self { cold_share: cold_share.clamp(0.0, 1.0), cold_s, started: None }
+        Self { cold_share: cold_share.clamp(0.0, 1.0), cold_s, restarted_at: None }
     }
 
     /// Restarts the node at this time, so that it is cold.
     pub(super) fn restart(&mut self, now: Duration) {
-        self.started = Some(now);
+        self.restarted_at = Some(now);
     }
 
     /// Whether the node works at full speed.
     pub(super) fn is_warm(&self, now: Duration) -> bool {
-        self.age_s(now) >= self.cold_s
+        self.time_since_restart_s(now) >= self.cold_s
     }
 
     /// The current speed as a share of full speed.
@@ -35,13 +35,13 @@
         if self.is_warm(now) {
             return 1.0;
         }
-        self.cold_share + self.speed_gain_per_s() * self.age_s(now)
+        self.cold_share + self.speed_gain_per_s() * self.time_since_restart_s(now)
     }
 
     /// When work that starts at `start` and takes `work_s` seconds at full speed is done.
     pub(super) fn end_of_work(&self, start: Duration, work_s: f64) -> Duration {
         let duration_s = if self.is_warm(start) { work_s } else { self.cold_duration_s(start, work_s) };
-        start + duration(duration_s)
+        start + duration_from_seconds(duration_s)
     }
 
     /// Duration in seconds of work that starts on a cold node: the work is the integral of the speed.
@@ -50,10 +50,10 @@
             return 0.0;
         }
         let speed = self.speed(start);
-        let cold_left_s = self.cold_s - self.age_s(start);
-        let cold_work_s = cold_left_s * (speed + 1.0) / 2.0;
-        if work_s >= cold_work_s {
-            return cold_left_s + work_s - cold_work_s;
+        let remaining_warm_up_s = self.cold_s - self.time_since_restart_s(start);
+        let warm_up_work_s = remaining_warm_up_s * (speed + 1.0) / 2.0;
+        if work_s >= warm_up_work_s {
+            return remaining_warm_up_s + work_s - warm_up_work_s;
         }
         2.0 * work_s / (speed + (speed * speed + 2.0 * self.speed_gain_per_s() * work_s).sqrt())
     }
@@ -62,12 +62,12 @@
         (1.0 - self.cold_share) / self.cold_s
     }
 
-    fn age_s(&self, now: Duration) -> f64 {
-        self.started.map_or(f64::INFINITY, |started| now.saturating_sub(started).as_secs_f64())
+    fn time_since_restart_s(&self, now: Duration) -> f64 {
+        self.restarted_at.map_or(f64::INFINITY, |restarted_at| now.saturating_sub(restarted_at).as_secs_f64())
     }
 }
 
 /// Converts seconds to a duration, at most the longest of the model; negative values become zero.
-pub(super) fn duration(seconds: f64) -> Duration {
+pub(super) fn duration_from_seconds(seconds: f64) -> Duration {
     Duration::try_from_secs_f64(seconds.min(MAX_DURATION_S)).unwrap_or_default()
 }
--- a/scale/src/node/order_history.rs
+++ b/scale/src/node/order_history.rs
@@ -11,21 +11,21 @@
 /// one machine can carry.
 const IDS_PER_GENERATION: usize = 1 << 18;
 
-/// Ids of recently run requests, over all nodes.
+/// Ids of recently run requests of the class `order`, which must run at most once, over all nodes.
 #[derive(Debug, Default)]
 pub(super) struct OrderHistory {
-    recent: FxHashSet<Box<str>>,
-    older: FxHashSet<Box<str>>,
+    recent_ids: FxHashSet<Box<str>>,
+    older_ids: FxHashSet<Box<str>>,
 }
 
 impl OrderHistory {
     /// Records that a request runs; returns whether it has run before.
     pub(super) fn record_run(&mut self, id: &str) -> bool {
-        if self.older.contains(id) || !self.recent.insert(id.into()) {
+        if self.older_ids.contains(id) || !self.recent_ids.insert(id.into()) {
             return true;
         }
-        if self.recent.len() >= IDS_PER_GENERATION {
-            self.older = mem::take(&mut self.recent);
+        if self.recent_ids.len() >= IDS_PER_GENERATION {
+            self.older_ids = mem::take(&mut self.recent_ids);
         }
         false
     }
--- a/scale/src/node/order_history/tests.rs
+++ b/scale/src/node/order_history/tests.rs
@@ -14,6 +14,6 @@
     for number in 0..3 * IDS_PER_GENERATION {
         history.record_run(&format!("more {number}"));
     }
-    assert!(history.recent.len() + history.older.len() <= 2 * IDS_PER_GENERATION);
+    assert!(history.recent_ids.len() + history.older_ids.len() <= 2 * IDS_PER_GENERATION);
     assert!(!history.record_run("first"));
 }
--- a/scale/src/node/precise_timer.rs
+++ b/scale/src/node/precise_timer.rs
@@ -38,7 +38,7 @@
 #[derive(Debug)]
 struct Wait {
     at: Instant,
-    done: oneshot::Sender<()>,
+    completion: oneshot::Sender<()>,
 }
 
 impl PreciseTimer {
@@ -60,8 +60,8 @@
         if at <= Instant::now() {
             return;
         }
-        let (done, waiting) = oneshot::channel();
-        self.shared.add(Wait { at, done });
+        let (completion, waiting) = oneshot::channel();
+        self.shared.add(Wait { at, completion });
         if waiting.await.is_err() {
             std::future::pending::<()>().await;
         }
@@ -103,8 +103,8 @@
             if !due.is_empty() {
                 drop(waits);
                 for wait in due {
-                    // Sending fails only if the waiting task has been dropped, and then nobody needs the result.
-                    let _ = wait.done.send(());
+                    // Sending fails only if the waiting task has been dropped.
+                    let _ = wait.completion.send(());
                 }
                 waits = self.waits();
                 continue;
--- a/scale/src/node/precise_timer/tests.rs
+++ b/scale/src/node/precise_timer/tests.rs
@@ -10,7 +10,7 @@
     let at = |milliseconds| start + Duration::from_millis(milliseconds);
     let mut waits = Waits::default();
     for milliseconds in [30, 10, 40, 20] {
-        waits.pending.push(Wait { at: at(milliseconds), done: oneshot::channel().0 });
+        waits.pending.push(Wait { at: at(milliseconds), completion: oneshot::channel().0 });
     }
     let mut due =
         |milliseconds| waits.take_due(at(milliseconds)).iter().map(|wait| wait.at).collect::<Vec<_>>();
--- a/scale/src/node/request.rs
+++ b/scale/src/node/request.rs
@@ -11,7 +11,7 @@
 use thiserror::Error;
 
 /// The class whose requests must not run twice.
-const ORDER: &str = "order";
+const ORDER_CLASS: &str = "order";
 
 /// Why a node rejects a request as invalid.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
@@ -46,7 +46,7 @@
     pub(super) fn name(self) -> &'static str {
         match self {
             Self::Read => "read",
-            Self::Order => ORDER,
+            Self::Order => ORDER_CLASS,
         }
     }
 }
@@ -80,7 +80,7 @@
         let class = head.uri.path().trim_start_matches('/').split('/').next();
         Ok(Self {
             id: id.to_owned(),
-            class: if class == Some(ORDER) { Class::Order } else { Class::Read },
+            class: if class == Some(ORDER_CLASS) { Class::Order } else { Class::Read },
             hops: count_parameter(query, "hops")?,
             hop: count_parameter(query, "hop")?,
             tenant: query_value(query, "tenant").map(str::to_owned),
--- a/scale/src/node/socket.rs
+++ b/scale/src/node/socket.rs
@@ -53,7 +53,8 @@
 /// The state of a connection that the requests on it share.
 #[derive(Debug)]
 pub(super) struct Connection {
-    /// Whether the node had reached its connection limit before this connection, whose requests then do not run.
+    /// Whether the node had reached its connection limit before this connection was opened. Its requests are
+    /// then rejected without running.
     pub(super) over_limit: bool,
     /// Requests a reset of the connection.
     pub(super) reset_requested: Notify,
--- a/scale/src/port.rs
+++ b/scale/src/port.rs
@@ -39,7 +39,7 @@
         self.address
     }
 
-    /// Refuses connections from now on; those not accepted yet are reset.
+    /// Makes the port refuse connections from now on; those not accepted yet are reset.
     ///
     /// # Errors
     /// The port is already closed.
--- a/scale/src/process/balancer.rs
+++ b/scale/src/process/balancer.rs
@@ -28,7 +28,7 @@
     child: Mutex<Child>,
 }
 
-/// What is needed to start the process; the same at each restart.
+/// What is needed to start the balancer process; the same at each restart.
 #[derive(Debug)]
 struct Launch {
     name: String,
@@ -151,7 +151,7 @@
         self.child().try_wait().ok().flatten()
     }
 
-    /// The last lines of its log.
+    /// The last lines of the log of the process.
     #[must_use]
     pub fn last_lines(&self) -> String {
         log::last_lines(&self.launch.log_file)
--- a/scale/src/process/balancer/tests.rs
+++ b/scale/src/process/balancer/tests.rs
@@ -26,10 +26,10 @@
 /// Path of the balancer program, which is built first if `cargo test` of this package alone has not built it.
 fn program() -> PathBuf {
     static PROGRAM: OnceLock<PathBuf> = OnceLock::new();
-    PROGRAM.get_or_init(|| find_balancer_program().unwrap_or_else(|_| build())).clone()
+    PROGRAM.get_or_init(|| find_balancer_program().unwrap_or_else(|_| build_balancer_program())).clone()
 }
 
-fn build() -> PathBuf {
+fn build_balancer_program() -> PathBuf {
     let executable = std::env::current_exe().expect("it runs");
     let target = executable.ancestors().nth(3).expect("target/debug/deps");
     let built = Command::new(env!("CARGO"))
@@ -80,7 +80,7 @@
     }
 }
 
-/// Waits until a balancer connects.
+/// Waits until a balancer connects to the control plane.
 fn wait_for_connection(control: &TcpListener) {
     let start = Instant::now();
     control.set_nonblocking(true).expect("a socket");
@@ -196,10 +196,10 @@
 
 #[tokio::test]
 async fn a_balancer_without_ready_nodes_is_not_ready() {
-    const SHORT: Duration = Duration::from_millis(100);
+    const READY_TIMEOUT: Duration = Duration::from_millis(100);
     let (directory, control) = (TempDir::new().expect("a temporary directory"), silent_control());
     let empty = |listen| configuration_text(&control, listen, None).replace("\"ready\"", "\"draining\"");
     let started = BalancerProcess::start_on_any_port(&program(), directory.path(), "real-0", empty).await;
-    let error = started.expect("starts").wait_until_ready(SHORT).await.expect_err("not ready");
-    assert!(matches!(error, ProcessError::TimedOut { within: SHORT, .. }), "{error}");
+    let error = started.expect("starts").wait_until_ready(READY_TIMEOUT).await.expect_err("not ready");
+    assert!(matches!(error, ProcessError::TimedOut { within: READY_TIMEOUT, .. }), "{error}");
 }
--- a/scale/src/process/health.rs
+++ b/scale/src/process/health.rs
@@ -1,4 +1,4 @@
-//! Health check of a balancer.
+//! Health check of a balancer process over HTTP.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -15,7 +15,7 @@
 /// A balancer that does not answer within this time is not ready yet.
 const HEALTH_CHECK_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Whether `GET /_health` answers 200.
+/// Whether the balancer is ready: `GET /_health` answers 200.
 pub(super) async fn is_ready(address: SocketAddr) -> bool {
     matches!(timeout(HEALTH_CHECK_TIMEOUT, status(address)).await, Ok(Some(StatusCode::OK)))
 }
--- a/scale/src/process/log.rs
+++ b/scale/src/process/log.rs
@@ -14,8 +14,8 @@
     let text = tail(path).unwrap_or_default();
     let text = String::from_utf8_lossy(&text);
     let lines: Vec<&str> = text.lines().collect();
-    let first = lines.len().saturating_sub(SHOWN_LINES);
-    lines[first..].iter().map(|line| format!("    {line}")).collect::<Vec<_>>().join("\n")
+    let first_shown = lines.len().saturating_sub(SHOWN_LINES);
+    lines[first_shown..].iter().map(|line| format!("    {line}")).collect::<Vec<_>>().join("\n")
 }
 
 fn tail(path: &Path) -> std::io::Result<Vec<u8>> {
--- a/scale/src/process/procfs.rs
+++ b/scale/src/process/procfs.rs
@@ -18,7 +18,7 @@
     previous: Option<Counters>,
 }
 
-/// What a process has used since its start.
+/// Processor time and context switches of a process since its start.
 #[derive(Debug)]
 struct Counters {
     sampled_at: Instant,
@@ -82,8 +82,8 @@
     Ok(switches)
 }
 
-/// Switches since the previous sample of the threads that run now; the last switches of threads that have
-/// ended since then are not known.
+/// Context switches since the previous sample of the threads that run now; the last switches of threads that
+/// have ended since then are not known.
 fn voluntary_switches_since(previous: &Counters, current: &Counters) -> u64 {
     let previous_count = |thread| previous.voluntary_switches.get(thread).copied().unwrap_or(0);
     current
--- a/scale/src/process/procfs/tests.rs
+++ b/scale/src/process/procfs/tests.rs
@@ -31,26 +31,26 @@
 
 #[test]
 fn resident_memory_is_measured() {
-    const MEGABYTES: usize = 64;
+    const ALLOCATED_MB: usize = 64;
     let mut sampler = Sampler::new(process::id());
-    let buffer = vec![1_u8; MEGABYTES << 20];
+    let buffer = vec![1_u8; ALLOCATED_MB << 20];
     let usage = sampler.sample().expect("this process runs");
-    assert!(usage.memory_mb >= MEGABYTES as f64, "{usage:?}");
-    assert!(std::hint::black_box(buffer).len() == MEGABYTES << 20);
+    assert!(usage.memory_mb >= ALLOCATED_MB as f64, "{usage:?}");
+    assert!(std::hint::black_box(buffer).len() == ALLOCATED_MB << 20);
 }
 
 #[test]
 fn open_descriptors_are_counted() {
-    const FILES: usize = 200;
+    const OPEN_FILES: usize = 200;
     let mut sampler = Sampler::new(process::id());
-    let files: Vec<File> = (0..FILES).map(|_| File::open("/dev/null").expect("opens")).collect();
+    let files: Vec<File> = (0..OPEN_FILES).map(|_| File::open("/dev/null").expect("opens")).collect();
     let usage = sampler.sample().expect("this process runs");
     assert!(usage.descriptors > files.len() as u64, "{usage:?}");
 }
 
 #[test]
 fn wakeups_of_all_threads_are_counted() {
-    const ROUNDS: u32 = 500;
+    const ROUND_TRIPS: u32 = 500;
     let (request_sender, requests) = mpsc::channel::<()>();
     let (answer_sender, answers) = mpsc::channel::<()>();
     let (end_sender, end_signal) = mpsc::channel::<()>();
@@ -62,7 +62,7 @@
         }
         let _ = end_signal.recv();
     });
-    for _ in 0..ROUNDS {
+    for _ in 0..ROUND_TRIPS {
         request_sender.send(()).expect("the thread waits");
         // The pause makes sure that the other thread has gone to sleep.
         thread::sleep(Duration::from_micros(200));
@@ -70,7 +70,7 @@
     }
     let usage = sampler.sample().expect("this process runs");
     let wakeups = usage.wakeups_per_s * start.elapsed().as_secs_f64();
-    assert!(wakeups >= f64::from(ROUNDS) / 2.0, "{usage:?}");
+    assert!(wakeups >= f64::from(ROUND_TRIPS) / 2.0, "{usage:?}");
     drop((request_sender, end_sender));
     thread.join().expect("ends");
 }
--- a/scale/src/process/settings.rs
+++ b/scale/src/process/settings.rs
@@ -23,7 +23,7 @@
 const LATENCY_TARGET_FRACTION: f64 = 0.5;
 /// Request quota of each tenant, higher than the rate of any run, so that no request is over quota.
 const TENANT_QUOTA_PER_S: f64 = 1e6;
-/// Maximum attempts per request.
+/// Maximum attempts that a balancer makes per request, including the first.
 const MAX_ATTEMPTS: u32 = 3;
 /// Cost of opening a connection, in units of a first attempt.
 const HANDSHAKE_COST: f64 = 0.05;
--- a/scale/src/topology.rs
+++ b/scale/src/topology.rs
@@ -16,7 +16,7 @@
 #[derive(Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct BalancerId(pub usize);
 
-/// Log events write the index of a balancer `CopyId`.
+/// Log events show a balancer's index as `CopyId(0)`, not under the name of the type.
 impl fmt::Debug for BalancerId {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         formatter.debug_tuple("CopyId").field(&self.0).finish()
@@ -99,9 +99,10 @@
 }
 
 impl Topology {
-    /// Lays out the fleet. Hollow node `i` belongs to service `i` modulo the number of services and runs hollow balancer
-    /// `i`. Real balancer `k` sends to real service `k`, whose nodes call through real balancer `k + 1` (those of the last
-    /// service through the first balancer). Zones are assigned in turn, so that each service is spread over them.
+    /// Lays out the fleet. Hollow node `i` belongs to service `i` modulo the number of services and runs
+    /// hollow balancer `i`. Real balancer `k` sends to real service `k`, whose nodes call through real
+    /// balancer `k + 1` (those of the last service through the first balancer). Zones are assigned in turn,
+    /// so that each service is spread over them.
     #[must_use]
     pub fn of(fleet: &Fleet) -> Self {
         let mut topology = Self {
--- a/scale/tests/children.rs
+++ b/scale/tests/children.rs
@@ -38,7 +38,8 @@
         running
     }
 
-    /// The log is read further in the background, so that the program does not block on a full pipe.
+    /// Waits until the log says that the run is ready. The log is read further in the background, so that the
+    /// program does not block on a full pipe.
     fn wait_until_ready(&mut self) {
         let log = BufReader::new(self.program.stderr.take().expect("piped"));
         let mut lines = log.lines().map_while(Result::ok);
--- a/scale/tests/nodes.rs
+++ b/scale/tests/nodes.rs
@@ -17,9 +17,10 @@
 use tokio::net::{TcpListener, TcpStream};
 
 /// Node of the first of two services; it calls the next one through [`SECOND_BALANCER`].
-const FIRST: NodeId = NodeId(0);
+const FIRST_NODE: NodeId = NodeId(0);
 /// Node of the second service.
-const SECOND: NodeId = NodeId(1);
+const SECOND_NODE: NodeId = NodeId(1);
+/// Balancer through which the first node calls the second service.
 const SECOND_BALANCER: BalancerId = BalancerId(1);
 
 /// Starts two services with one node each, whose work takes 10 us.
@@ -85,7 +86,7 @@
 #[tokio::test]
 async fn a_request_is_served_with_a_load_report_and_one_without_an_id_gets_404() {
     let (nodes, record) = nodes("connect_ms = 0.0").await;
-    let mut sender = connect(nodes.address(FIRST)).await.unwrap();
+    let mut sender = connect(nodes.address(FIRST_NODE)).await.unwrap();
     let served = send(&mut sender, "GET", "/read?hops=1&hop=1", Some("a")).await.unwrap();
     assert_eq!((served.status, served.body.is_empty()), (StatusCode::OK, false));
     let load = served.headers["x-load"].to_str().unwrap();
@@ -101,12 +102,12 @@
 async fn an_order_that_runs_twice_is_counted_even_across_nodes() {
     let (nodes, record) = nodes("").await;
     for (node, method, path, id, duplicated) in [
-        (FIRST, "POST", "/order?hops=1&hop=1", "a", 0),
-        (FIRST, "POST", "/order?hops=1&hop=1", "b", 0),
-        (SECOND, "POST", "/order?hops=1&hop=1", "a", 1),
-        (FIRST, "POST", "/order?hops=1&hop=1", "a", 2),
-        (FIRST, "GET", "/read?hops=1&hop=1", "c", 2),
-        (SECOND, "GET", "/read?hops=1&hop=1", "c", 2),
+        (FIRST_NODE, "POST", "/order?hops=1&hop=1", "a", 0),
+        (FIRST_NODE, "POST", "/order?hops=1&hop=1", "b", 0),
+        (SECOND_NODE, "POST", "/order?hops=1&hop=1", "a", 1),
+        (FIRST_NODE, "POST", "/order?hops=1&hop=1", "a", 2),
+        (FIRST_NODE, "GET", "/read?hops=1&hop=1", "c", 2),
+        (SECOND_NODE, "GET", "/read?hops=1&hop=1", "c", 2),
     ] {
         let mut sender = connect(nodes.address(node)).await.unwrap();
         assert_eq!(send(&mut sender, method, path, Some(id)).await.unwrap().status, StatusCode::OK);
@@ -118,9 +119,9 @@
 async fn a_call_of_many_hops_reaches_the_last_node() {
     let (nodes, record) = nodes("").await;
     // A node of the same service takes the place of each balancer.
-    nodes.set_balancer_address(SECOND_BALANCER, nodes.address(SECOND));
-    nodes.set_balancer_address(BalancerId(0), nodes.address(FIRST));
-    let served = get(nodes.address(FIRST), "/read?hops=27&hop=1", "a").await.unwrap();
+    nodes.set_balancer_address(SECOND_BALANCER, nodes.address(SECOND_NODE));
+    nodes.set_balancer_address(BalancerId(0), nodes.address(FIRST_NODE));
+    let served = get(nodes.address(FIRST_NODE), "/read?hops=27&hop=1", "a").await.unwrap();
     assert_eq!(served.status, StatusCode::OK);
     let measured = record.measured();
     assert!((1..=27).all(|hop| measured.attempts[0][&hop] == 1));
@@ -131,8 +132,8 @@
 #[tokio::test]
 async fn errors_arise_at_the_last_hop_and_propagate_back() {
     let (nodes, record) = nodes("error_share = 1.0").await;
-    nodes.set_balancer_address(SECOND_BALANCER, nodes.address(SECOND));
-    let failed = get(nodes.address(FIRST), "/read?hops=2&hop=1", "a").await.unwrap();
+    nodes.set_balancer_address(SECOND_BALANCER, nodes.address(SECOND_NODE));
+    let failed = get(nodes.address(FIRST_NODE), "/read?hops=2&hop=1", "a").await.unwrap();
     assert_eq!(failed.status, StatusCode::INTERNAL_SERVER_ERROR);
     // The first node called the next service although its own drawn outcome was an error.
     assert_eq!(attempts(&record), 2);
@@ -179,7 +180,7 @@
         heads.push(respond_as_balancer(&mut accept().await, "200 OK").await);
         heads
     });
-    let mut sender = connect(nodes.address(FIRST)).await.unwrap();
+    let mut sender = connect(nodes.address(FIRST_NODE)).await.unwrap();
     for status in [StatusCode::OK, StatusCode::INTERNAL_SERVER_ERROR, StatusCode::OK] {
         let response =
             send(&mut sender, "GET", "/read?hops=5&hop=3&tenant=tenant-2", Some("a")).await.unwrap();
@@ -216,7 +217,7 @@
         drop(second);
         [order, read, interrupted, respond_as_balancer(&mut accept().await, "200 OK").await]
     });
-    let mut sender = connect(nodes.address(FIRST)).await.unwrap();
+    let mut sender = connect(nodes.address(FIRST_NODE)).await.unwrap();
     for (method, path, status) in [
         ("GET", "/read?hops=2&hop=1", StatusCode::OK),
         ("POST", "/order?hops=2&hop=1", StatusCode::INTERNAL_SERVER_ERROR),
@@ -235,38 +236,38 @@
 async fn a_stopped_node_refuses_connections_and_restarts_cold_on_the_same_port() {
     // A cold node takes two requests, a warm one any number.
     let (nodes, record) = nodes("fall_multiple = 0.0\nfall_s = 1e5\ncold_s = 1e6\ncold_share = 1.0").await;
-    let address = nodes.address(FIRST);
+    let address = nodes.address(FIRST_NODE);
     let mut warm = connect(address).await.unwrap();
     for id in ["a", "b", "c", "d"] {
         assert_eq!(send(&mut warm, "GET", "/read", Some(id)).await.unwrap().status, StatusCode::OK);
     }
-    nodes.stop(FIRST);
+    nodes.stop(FIRST_NODE);
     assert_eq!(connect(address).await.unwrap_err().kind(), io::ErrorKind::ConnectionRefused);
     assert!(send(&mut warm, "GET", "/read", Some("e")).await.is_err());
-    nodes.restart(FIRST).await;
-    assert_eq!(nodes.address(FIRST), address);
+    nodes.restart(FIRST_NODE).await;
+    assert_eq!(nodes.address(FIRST_NODE), address);
     for id in ["f", "g"] {
         assert_eq!(get(address, "/read", id).await.unwrap().status, StatusCode::OK);
     }
     assert!(get(address, "/read", "h").await.is_err());
     assert_eq!(record.measured().cold_node_collapses, 1);
     assert_eq!(connect(address).await.unwrap_err().kind(), io::ErrorKind::ConnectionRefused);
-    nodes.restart(FIRST).await;
+    nodes.restart(FIRST_NODE).await;
     assert_eq!(get(address, "/read", "i").await.unwrap().status, StatusCode::OK);
 }
 
 #[tokio::test]
 async fn a_silent_node_accepts_requests_and_answers_once_it_resumes() {
     let (nodes, record) = nodes("").await;
-    nodes.set_silent(FIRST, true);
-    let address = nodes.address(FIRST);
+    nodes.set_silent(FIRST_NODE, true);
+    let address = nodes.address(FIRST_NODE);
     let hanging = tokio::spawn(async move { get(address, "/read", "a").await.unwrap().status });
     while attempts(&record) == 0 {
         tokio::task::yield_now().await;
     }
-    assert_eq!(get(nodes.address(SECOND), "/read", "b").await.unwrap().status, StatusCode::OK);
+    assert_eq!(get(nodes.address(SECOND_NODE), "/read", "b").await.unwrap().status, StatusCode::OK);
     assert!(!hanging.is_finished());
-    nodes.set_silent(FIRST, false);
+    nodes.set_silent(FIRST_NODE, false);
     assert_eq!(hanging.await.unwrap(), StatusCode::OK);
 }
 
@@ -274,7 +275,7 @@
 async fn a_request_over_the_queue_limit_does_not_run() {
     // The first request occupies the only core for the rest of the test.
     let (nodes, record) = start("work_ms = 1e9\ncores = 1\nqueue = 0\nconnect_ms = 0.0").await;
-    let address = nodes.address(FIRST);
+    let address = nodes.address(FIRST_NODE);
     let running = tokio::spawn(get(address, "/order", "a"));
     while attempts(&record) == 0 {
         tokio::task::yield_now().await;
@@ -286,9 +287,9 @@
 #[tokio::test]
 async fn a_request_over_the_connection_limit_does_not_run() {
     let (nodes, _record) = nodes("connections = 1").await;
-    let mut first = connect(nodes.address(FIRST)).await.unwrap();
+    let mut first = connect(nodes.address(FIRST_NODE)).await.unwrap();
     assert_eq!(send(&mut first, "GET", "/read", Some("a")).await.unwrap().status, StatusCode::OK);
-    let refused = get(nodes.address(FIRST), "/read", "b").await.unwrap();
+    let refused = get(nodes.address(FIRST_NODE), "/read", "b").await.unwrap();
     assert!(refused.not_run());
     assert_eq!(refused.headers["connection"], "close");
     assert_eq!(send(&mut first, "GET", "/read", Some("c")).await.unwrap().status, StatusCode::OK);
@@ -297,7 +298,7 @@
 #[tokio::test]
 async fn a_reset_breaks_the_connection_of_the_request() {
     let (nodes, record) = nodes("reset_share = 1.0").await;
-    assert!(get(nodes.address(FIRST), "/read", "a").await.is_err());
+    assert!(get(nodes.address(FIRST_NODE), "/read", "a").await.is_err());
     assert_eq!(attempts(&record), 1);
-    assert!(connect(nodes.address(FIRST)).await.is_ok());
+    assert!(connect(nodes.address(FIRST_NODE)).await.is_ok());
 }
--- a/src/decide.rs
+++ b/src/decide.rs
@@ -122,8 +122,8 @@
 /// Stride between the positions of consecutive replicas on the ring of upstreams, as a fraction of the number
 /// of replicas; it spreads replicas with consecutive indices over the ring.
 const INVERSE_GOLDEN_RATIO: f64 = 0.618;
-/// Weight of one outcome in the moving average of an upstream's failures, so that the second failure
-/// in a row stands out.
+/// Weight of one outcome in the moving average of an upstream's failures, so that the second failure in a
+/// row stands out.
 const FAILURE_EWMA_WEIGHT: f64 = 0.2;
 /// Weight of one call in the moving averages over the whole tier: its failure rate and its slowness.
 const TIER_EWMA_WEIGHT: f64 = 0.02;
