--- a/scale/src/cover.rs
+++ b/scale/src/cover.rs
@@ -1,7 +1,7 @@
 //! Measures how evenly the subsets of many balancers cover the endpoints of a service, using the decision module.
 //!
-//! Each one is a [`Balancer`] that knows its own number and a count of balancers, which may be outdated. It sends
-//! a fixed number of calls, and each of them is answered. Calls are counted by endpoint over all balancers.
+//! Each balancer is a [`Balancer`] that knows its own number and a count of balancers, which may be outdated. It
+//! sends a fixed number of calls, and each call is answered. Calls are counted by endpoint over all balancers.
 
 use std::time::Duration;
 
--- a/scale/src/hollow/arrivals.rs
+++ b/scale/src/hollow/arrivals.rs
@@ -13,7 +13,7 @@
 /// A client that leaves early does so within this fraction of its deadline.
 const MAX_LEAVE_FRACTION: f64 = 0.5;
 
-/// A first-hop call.
+/// A call that a client sends to a hollow balancer, as drawn before it is made.
 #[derive(Debug, Clone, PartialEq)]
 pub(super) struct Arrival {
     /// When the call arrives, counted from the start of the load.
@@ -22,9 +22,9 @@
     pub balancer: usize,
     /// Hops from the client to the last node.
     pub hops: u32,
-    /// Class of the call.
+    /// Whether the call is a read or an order, which must not be executed twice.
     pub class: CallClass,
-    /// Number of its tenant.
+    /// Number of the tenant that the call belongs to.
     pub tenant: u32,
     /// The client closes its connection after this time if the call has not ended; `None` if it waits until
     /// its deadline.
--- a/scale/src/hollow/balancer.rs
+++ b/scale/src/hollow/balancer.rs
@@ -26,9 +26,9 @@
     attempt: AttemptId,
 }
 
-/// A hollow balancer.
+/// A hollow balancer: one simulated in this process, with the decision module of the real one.
 pub(super) struct HollowBalancer {
-    /// The decision module.
+    /// The decision module, which chooses upstreams, timeouts and retries.
     pub decisions: Balancer,
     /// The upstreams of the latest list.
     pub directory: Directory,
@@ -42,9 +42,9 @@
     pub list_version: u64,
     /// Whether the watch is open and has delivered a list or change.
     pub watching: bool,
-    /// Number of restarts of the balancer's process, which invalidate timers set before.
+    /// Number of restarts of the balancer's process; a timer set before a restart is ignored.
     pub generation: u64,
-    /// Region of the balancer.
+    /// Region of the balancer; a cut between regions makes the nodes of other regions unreachable.
     pub region: RegionId,
     /// Idle connections to nodes.
     pub idle_connections: IdleConnections,
--- a/scale/src/hollow/calls.rs
+++ b/scale/src/hollow/calls.rs
@@ -7,7 +7,7 @@
 use super::connections::Connection;
 use crate::node::model::WorkOutcome;
 
-/// The class of a call.
+/// Whether a call may be executed more than once.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum CallClass {
     /// Safe to execute repeatedly.
@@ -24,12 +24,12 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub(super) struct ExecutionId(pub u64);
 
-/// Identifies an attempt.
+/// Identifies an attempt: one try of a request on one upstream.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) struct AttemptId {
-    /// The request that it belongs to.
+    /// The request that the attempt belongs to.
     pub request: RequestId,
-    /// Its number within the request.
+    /// Number of the attempt within its request.
     pub number: AttemptNumber,
 }
 
@@ -59,13 +59,13 @@
 /// The parameters of a request; only the hop numbers differ between the hops of a call.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct RequestSpec {
-    /// Class of the call.
+    /// Whether the request is a read or an order, which must not be executed twice.
     pub class: CallClass,
-    /// Number of its tenant.
+    /// Number of the tenant that the call belongs to.
     pub tenant: u32,
-    /// Remaining hops up to the last node, including this one.
+    /// Remaining hops from this request up to the last node, including this request.
     pub hops: u32,
-    /// Number of this hop, counted from 1.
+    /// Number of the hop that this request makes; the client's request is hop 1.
     pub hop: u32,
 }
 
@@ -85,7 +85,7 @@
     pub deadline: Duration,
     /// Index of the balancer that the call is sent to.
     pub balancer: usize,
-    /// Parameters of the request.
+    /// Class, tenant and hop numbers of the request.
     pub spec: RequestSpec,
     /// How often the client may still retry after a refusal.
     pub retries_left: u32,
@@ -96,21 +96,21 @@
 /// A request at a hollow balancer.
 #[derive(Debug)]
 pub(super) struct OpenRequest {
-    /// Index of the balancer.
+    /// Index of the balancer that handles the request.
     pub balancer: usize,
     /// Who receives the answer.
     pub caller: Caller,
-    /// Parameters of the request.
+    /// Class, tenant and hop numbers of the request.
     pub spec: RequestSpec,
-    /// When the decisions must have answered.
+    /// When the balancer's decision module must have answered.
     pub deadline: Duration,
-    /// Whether it has its final answer or its caller no longer waits for one.
+    /// Whether the request has its final answer or its caller no longer waits for one.
     pub answered: bool,
     /// Attempts in flight, indexed by number; `None` for those that have ended.
     pub attempts: Vec<Option<Attempt>>,
     /// Number of attempts in flight.
     pub in_flight: u32,
-    /// How often a node has accepted it.
+    /// How often a node has accepted the request; more than once means repeated execution.
     pub times_accepted: u32,
 }
 
@@ -124,7 +124,7 @@
 /// An attempt in flight.
 #[derive(Debug)]
 pub(super) struct Attempt {
-    /// The upstream that it is sent to.
+    /// The upstream that the attempt is sent to.
     pub upstream: UpstreamId,
     /// Index of the node; `None` if the upstream is not a node of this fleet.
     pub node: Option<usize>,
@@ -132,29 +132,29 @@
     pub requested_at: Duration,
     /// When the attempt times out.
     pub deadline: Duration,
-    /// When it was completely written; `None` while its connection is being established.
+    /// When the attempt was completely written; `None` while its connection is being established.
     pub sent_at: Option<Duration>,
-    /// The connection that it was written to.
+    /// The connection that the attempt was written to.
     pub connection: Option<Connection>,
-    /// Its execution on the node, once accepted.
+    /// The execution on the node, once the node has accepted the attempt.
     pub execution: Option<ExecutionId>,
 }
 
 /// The execution of a request that a node has accepted.
 #[derive(Debug)]
 pub(super) struct Execution {
-    /// Index of the node.
+    /// Index of the node that executes the request.
     pub node: usize,
     /// The attempt that delivered the request.
     pub attempt: AttemptId,
-    /// Index of the balancer that sent it.
+    /// Index of the balancer that sent the attempt.
     pub balancer: usize,
-    /// Parameters of the request.
+    /// Class, tenant and hop numbers of the request.
     pub spec: RequestSpec,
     /// When the attempt's caller stops waiting.
     pub deadline: Duration,
     /// How the work ends; only used at the last hop.
     pub outcome: WorkOutcome,
-    /// The request to the next service whose answer it waits for.
+    /// The request to the next service whose answer the node waits for.
     pub downstream: Option<RequestId>,
 }
--- a/scale/src/hollow/connections.rs
+++ b/scale/src/hollow/connections.rs
@@ -8,7 +8,7 @@
 /// A connection to a node.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) struct Connection {
-    /// Index of the node.
+    /// Index of the node at the other end.
     pub node: usize,
     /// Generation of the node's process at the other end; the connection is closed when that process ends.
     pub generation: u64,
--- a/scale/src/hollow/host.rs
+++ b/scale/src/hollow/host.rs
@@ -43,34 +43,34 @@
 enum Step {
     /// An event to be handled by a balancer's decisions.
     Decide {
-        /// Index of the balancer.
+        /// Index of the balancer whose decisions handle the event.
         balancer: usize,
-        /// The event.
+        /// What happened, such as a request, an ended attempt or a list update.
         event: Event,
     },
     /// An answer to be delivered to the caller of a request.
     Answered {
-        /// The caller.
+        /// The client or node that receives the answer.
         caller: Caller,
-        /// The answer.
+        /// Whether the request was served, refused or failed.
         answer: Answer,
     },
 }
 
-/// All hollow balancers and modelled nodes.
+/// All hollow (simulated) balancers and modelled nodes, with the schedule of their events.
 pub(super) struct HollowHost {
     plan: Plan,
     control: Arc<ControlPlane>,
     record: Arc<Record>,
     progress: Arc<Progress>,
     clock: Clock,
-    /// The moment from which times are counted.
+    /// Creation of the host, from which modelled times are counted.
     epoch: Instant,
-    /// The modelled time: that of the event being handled.
+    /// Modelled time, which is the time of the event being handled.
     now: Duration,
     schedule: Schedule,
     steps: VecDeque<Step>,
-    /// Empty between events; kept to reuse its memory.
+    /// Buffer for the actions of the decisions; empty between events, kept to reuse its memory.
     actions: Vec<Action>,
     balancers: Vec<HollowBalancer>,
     nodes: Vec<ModelledNode>,
@@ -79,7 +79,7 @@
     /// Indices of the nodes by name.
     node_indices: FxHashMap<String, usize>,
     arrivals: Peekable<Arrivals>,
-    /// When the load starts; `None` until that is known.
+    /// When the load starts, in modelled time; `None` until that is known.
     load_start: Option<Duration>,
     calls: FxHashMap<CallId, OpenCall>,
     requests: FxHashMap<RequestId, OpenRequest>,
@@ -169,7 +169,7 @@
         (0..max_events).all(|_| self.handle_next(wall_time))
     }
 
-    /// Handles all events that are due, before something from outside is handled.
+    /// Handles all events that are due, before a command, list update or other input from outside is handled.
     fn catch_up(&mut self) {
         let wall_time = self.epoch.elapsed();
         while self.handle_next(wall_time) {}
--- a/scale/src/hollow/mod.rs
+++ b/scale/src/hollow/mod.rs
@@ -58,7 +58,7 @@
     /// Maximum lateness: the longest time during the load from when an event was due until it was handled. If
     /// it is well above some milliseconds, the thread was too slow for the load.
     pub max_lateness: Duration,
-    /// Calls that had not ended; no figure includes them.
+    /// Number of calls that had not ended; no other figure includes them.
     pub open_calls: usize,
 }
 
--- a/scale/src/hollow/nodes.rs
+++ b/scale/src/hollow/nodes.rs
@@ -13,25 +13,25 @@
 /// Multiplier of the node's number in its seed; odd, so that the nodes of a run have different seeds.
 const SEED_MULTIPLIER: u64 = 0x9e37_79b9_7f4a_7c15;
 
-/// A node with its connections.
+/// A modelled node: the model of its work, its connections and its faults.
 #[derive(Debug)]
 pub(super) struct ModelledNode {
-    /// The model of its work.
+    /// Model of the node's queue, processing times and outcomes.
     pub model: NodeModel,
-    /// Region of the node.
+    /// Region of the node; a cut between regions makes the node unreachable for balancers of other regions.
     pub region: RegionId,
-    /// Whether its machine is cut off: it neither answers nor accepts connections.
+    /// Whether the node's machine is cut off: it neither answers nor accepts connections.
     pub silent: bool,
-    /// Whether its process has ended and has not been restarted.
+    /// Whether the node's process has ended and has not been restarted.
     pub down: bool,
-    /// Increases whenever its process ends or restarts; connections of earlier generations are closed.
+    /// Increases whenever the node's process ends or restarts; connections of earlier generations are closed.
     pub generation: u64,
     open_connections: u32,
     max_connections: u32,
 }
 
 impl ModelledNode {
-    /// A warm node.
+    /// Creates a warm node, which works at full speed.
     pub fn new(settings: &scenario::Node, region: RegionId, number: usize, seed: u64) -> Self {
         let seed = seed ^ (number as u64 + 1).wrapping_mul(SEED_MULTIPLIER);
         let model = NodeModel::new(settings, seed);
@@ -70,7 +70,7 @@
         self.open_connections = 0;
     }
 
-    /// Starts a new, cold process.
+    /// Starts a new process of the node, which is cold (slow at first).
     pub fn restart(&mut self, now: Duration) {
         self.stop();
         self.down = false;
--- a/scale/src/hollow/plan.rs
+++ b/scale/src/hollow/plan.rs
@@ -10,12 +10,12 @@
 /// Listen address in the configurations of hollow balancers, which do not listen.
 const UNUSED_ADDRESS: SocketAddr = SocketAddr::new(std::net::IpAddr::V4(Ipv4Addr::LOCALHOST), 9);
 
-/// The scenario and fleet of a run.
+/// What the hollow balancers' thread models: the scenario, fleet and seed of a run.
 #[derive(Debug, Clone)]
 pub(super) struct Plan {
-    /// The scenario.
+    /// Scenario that is run.
     pub scenario: Scenario,
-    /// The fleet.
+    /// Services, balancers and nodes of the fleet.
     pub topology: Topology,
     /// Seed of all random draws for hollow balancers and their nodes.
     pub seed: u64,
@@ -44,8 +44,8 @@
     }
 }
 
-/// The text of a configuration without the endpoint list, which is most of it and out of date by the next
-/// start.
+/// Removes the endpoint list from the text of a configuration: the list is most of the text and out of date
+/// by the next start. `None` if the text does not parse.
 pub(super) fn without_list(text: &str) -> Option<String> {
     let mut configuration: serde_json::Map<String, serde_json::Value> = serde_json::from_str(text).ok()?;
     configuration.remove("known");
--- a/scale/src/hollow/progress.rs
+++ b/scale/src/hollow/progress.rs
@@ -3,7 +3,7 @@
 use std::sync::atomic::{AtomicU64, AtomicUsize, Ordering};
 use std::time::Duration;
 
-/// Counters that the thread updates and others read.
+/// Counters that the hollow balancers' thread updates and other threads read.
 #[derive(Debug, Default)]
 pub(super) struct Progress {
     ready: AtomicUsize,
@@ -33,12 +33,13 @@
         Duration::from_micros(self.max_lateness_us.load(Ordering::Relaxed))
     }
 
-    /// Updates the number of ready balancers for one that was ready or not `before` and `after`.
+    /// Updates the number of ready balancers; `before` and `after` say whether one of them was and is ready.
     pub fn ready_changed(&self, before: bool, after: bool) {
         update_count(&self.ready, before, after);
     }
 
-    /// Updates the number of watching balancers for one that was watching or not `before` and `after`.
+    /// Updates the number of balancers with an open watch; `before` and `after` say whether one of them had
+    /// and has one.
     pub fn watching_changed(&self, before: bool, after: bool) {
         update_count(&self.watching, before, after);
     }
--- a/scale/src/hollow/schedule.rs
+++ b/scale/src/hollow/schedule.rs
@@ -11,34 +11,34 @@
 /// An event that is due at a certain time.
 #[derive(Debug, Clone, Copy)]
 pub(super) enum TimedEvent {
-    /// The next first-hop call arrives.
+    /// The next call of a client arrives.
     Arrival,
     /// A client retries a call that was refused.
     Retry(CallId),
-    /// A client closes its connection.
+    /// A client closes its connection before it has an answer.
     ClientDisconnects(CallId),
-    /// The deadline of a client whose balancer's machine is gone.
+    /// The deadline of a client's call whose balancer is on a silent machine; the call fails.
     ClientDeadline(CallId),
     /// A call that still has no answer is lost.
     CallLost(CallId),
     /// The balancer answers a request itself, since its decisions have not.
     RequestOverdue(RequestId),
-    /// The deadline of an attempt.
+    /// The deadline of an attempt, which then ends as timed out.
     AttemptTimeout(AttemptId),
-    /// The time limit for establishing a connection.
+    /// The time limit for establishing an attempt's connection, which then counts as failed.
     ConnectTimeout(AttemptId),
     /// A node has done its own work for a request.
     WorkDone(ExecutionId),
     /// The timer of a balancer's decisions expires; ignored if its process has been restarted since.
     Wake {
-        /// Index of the balancer.
+        /// Index of the balancer that the event concerns.
         balancer: usize,
         /// Generation of the process that set the timer.
         generation: u64,
     },
     /// A balancer closes connections that have been idle for too long.
     SweepIdleConnections {
-        /// Index of the balancer.
+        /// Index of the balancer that the event concerns.
         balancer: usize,
     },
 }
@@ -46,9 +46,9 @@
 /// An event that is due.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct DueEvent {
-    /// When it was due.
+    /// When the event was due.
     pub at: Duration,
-    /// The event.
+    /// What is to be handled.
     pub event: TimedEvent,
 }
 
--- a/scale/src/hollow/thread.rs
+++ b/scale/src/hollow/thread.rs
@@ -18,7 +18,7 @@
 use crate::control::ControlPlane;
 use crate::record::Record;
 
-/// Maximum number of events handled in a row before watches run.
+/// Maximum number of events handled in a row before the discovery watches on the same thread run.
 const MAX_EVENTS_PER_BATCH: usize = 256;
 /// Longest sleep: watches may add events that are due before all scheduled ones.
 const MAX_SLEEP: Duration = Duration::from_millis(5);
@@ -27,7 +27,7 @@
 
 /// What the thread needs to run.
 pub(super) struct ThreadInput {
-    /// What it models.
+    /// The fleet that the thread models.
     pub plan: Plan,
     /// The control plane whose lists the balancers watch.
     pub control: Arc<ControlPlane>,
@@ -35,7 +35,7 @@
     pub record: Arc<Record>,
     /// Counters that other threads read.
     pub progress: Arc<Progress>,
-    /// Commands to the thread.
+    /// Commands to start the load, inject a fault, reload settings or stop.
     pub commands: UnboundedReceiver<Command>,
     /// Receives the result once all balancers have started or one has failed to.
     pub start_result: Sender<Result<(), HollowError>>,
--- a/scale/src/plan.rs
+++ b/scale/src/plan.rs
@@ -24,7 +24,7 @@
 pub struct Step {
     /// Time from the start of the load.
     pub offset: Duration,
-    /// Action that is carried out.
+    /// Fault or change that is carried out at that time.
     pub action: Action,
 }
 
@@ -35,9 +35,9 @@
     Publish(NodeId, NodeStatus),
     /// A node stops answering (`true`) or answers again (`false`), while its process keeps running.
     Silence(NodeId, bool),
-    /// A node is stopped.
+    /// A node's process is stopped.
     Stop(NodeId),
-    /// A node is started again and is cold at first.
+    /// A stopped node is started again; it is slow (cold) at first.
     Restart(NodeId),
     /// The control plane publishes a new weight of a node.
     Weight(NodeId, f64),
@@ -62,14 +62,14 @@
 /// Status of a node in the control plane's list.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum NodeStatus {
-    /// Accepts requests.
+    /// The node accepts requests.
     Ready {
         /// The node has just started again and is cold.
         restarted: bool,
     },
-    /// Finishes its requests in flight and should get no new ones.
+    /// The node finishes its requests in flight and should get no new ones.
     Draining,
-    /// Is no longer in the list.
+    /// The node is no longer in the list.
     Gone,
 }
 
--- a/scale/src/report.rs
+++ b/scale/src/report.rs
@@ -53,7 +53,7 @@
 /// Attempts divided by calls at each hop; shows how far retries multiply with depth.
 #[derive(Debug, Clone, Default, PartialEq, Serialize)]
 pub struct AttemptsPerCall {
-    /// Attempts per call by hop, from 1.
+    /// Attempts divided by calls at each hop; the first hop is 1.
     pub by_hop: BTreeMap<u32, f64>,
     /// Attempts at the deepest hop divided by the clients' calls of that depth.
     pub deepest_over_first: Option<f64>,
@@ -65,7 +65,7 @@
     /// Time from new settings to when a balancer decides by them; `None` if none ever did.
     #[serde(flatten)]
     pub delay: Option<Delay>,
-    /// Balancers that never decided by them.
+    /// Balancers that never decided by the new settings.
     pub missed: u64,
 }
 
@@ -84,9 +84,9 @@
     pub partial: bool,
     /// Why the run ended early.
     pub partial_reason: Option<String>,
-    /// Number of real balancers.
+    /// Number of real balancers (processes of the balancer program).
     pub real: u32,
-    /// Number of hollow balancers.
+    /// Number of hollow balancers (simulated inside the tool).
     pub hollow: u32,
     /// All calls of clients.
     #[serde(flatten)]
@@ -104,7 +104,7 @@
     pub added_latency_us: Option<AddedLatency>,
     /// Latency of one-hop calls through a real balancer.
     pub one_hop_latency_us: Option<Latency>,
-    /// Latency of the same calls sent directly to a node.
+    /// Latency of one-hop calls sent directly to a node, without a balancer.
     pub direct_latency_us: Option<Latency>,
     /// Delay between the scheduled arrival of calls on sockets and their start by the client. Unless it is small
     /// compared with the latency of calls, the machine was too slow for the load.
@@ -123,7 +123,7 @@
     pub control_bytes_per_s: Option<MeanMax>,
     /// Calls of all balancers to the control plane during the load.
     pub control_calls: u64,
-    /// Calls among these that the control plane answered with 503.
+    /// Calls of all balancers during the load that the control plane answered with 503.
     #[serde(rename = "control_turned_away")]
     pub control_rejected_calls: u64,
     /// Percent of a core that a real balancer uses without calls, for discovery alone: mean and maximum over the
--- a/scale/src/report/calls.rs
+++ b/scale/src/report/calls.rs
@@ -15,15 +15,15 @@
 pub struct Counts {
     /// Calls of clients; a call and the client's retries of it count once.
     pub calls: u64,
-    /// Answered with 200 before the deadline.
+    /// Calls answered with 200 before the deadline.
     pub served: u64,
-    /// Answered with 429 or 503, after the client's retries, if any.
+    /// Calls answered with 429 or 503, after the client's retries, if any.
     pub refused: u64,
-    /// Any other answer, or no answer before the deadline.
+    /// Calls with an answer other than 200, 429 or 503, or with none before the deadline.
     pub failed: u64,
-    /// Accepted by a server, but never answered.
+    /// Calls that a server accepted, but never answered.
     pub lost: u64,
-    /// The client closed its connection before the answer.
+    /// Calls whose client closed its connection before the answer.
     #[serde(rename = "left")]
     pub client_disconnected: u64,
 }
@@ -49,7 +49,7 @@
     pub(super) hollow_latency_us: BTreeMap<u32, DurationHistogram>,
     /// Share of calls served over time.
     pub(super) served_share: ServedShare,
-    /// Counts by second.
+    /// Counts of calls by the second of their arrival.
     pub(super) series: Series,
 }
 
--- a/scale/src/report/figures.rs
+++ b/scale/src/report/figures.rs
@@ -10,11 +10,11 @@
 /// Percentiles of latencies in microseconds.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 pub struct Latency {
-    /// 50th percentile.
+    /// 50th percentile of the latencies, in microseconds.
     pub p50: u64,
-    /// 99th percentile.
+    /// 99th percentile of the latencies, in microseconds.
     pub p99: u64,
-    /// 99.9th percentile.
+    /// 99.9th percentile of the latencies, in microseconds.
     pub p999: u64,
     /// Number of calls measured.
     pub count: u64,
@@ -33,11 +33,11 @@
 /// calls sent directly to a node. It can be negative where the difference is within the noise.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 pub struct AddedLatency {
-    /// Difference of the 50th percentiles.
+    /// 50th percentile through the balancer minus that of direct calls, in microseconds.
     pub p50: i64,
-    /// Difference of the 99th percentiles.
+    /// 99th percentile through the balancer minus that of direct calls, in microseconds.
     pub p99: i64,
-    /// Difference of the 99.9th percentiles.
+    /// 99.9th percentile through the balancer minus that of direct calls, in microseconds.
     pub p999: i64,
 }
 
@@ -58,11 +58,11 @@
 /// Seconds from a change until it takes effect.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize)]
 pub struct Delay {
-    /// 50th percentile.
+    /// 50th percentile of the delays, in seconds.
     pub p50: f64,
-    /// 99th percentile.
+    /// 99th percentile of the delays, in seconds.
     pub p99: f64,
-    /// Longest delay.
+    /// Longest delay, in seconds.
     pub max: f64,
     /// Number of delays measured.
     pub count: u64,
--- a/scale/src/report/recovery.rs
+++ b/scale/src/report/recovery.rs
@@ -6,9 +6,9 @@
 
 /// Time steps per second in which calls are counted.
 const STEPS_PER_S: usize = 10;
-/// Seconds for which the share must stay recovered.
+/// Seconds for which the share of calls served must stay recovered to count as recovered.
 const MIN_RECOVERED_S: usize = 2;
-/// How far below its value before the fault a recovered share may be.
+/// How far the share of calls served may be below its value before the fault and still count as recovered.
 const SHARE_TOLERANCE: f64 = 0.02;
 
 /// Start and end of a fault, in seconds from the start of the load.
@@ -16,9 +16,9 @@
 pub struct FaultPeriod {
     /// Kind of the fault.
     pub kind: FaultKind,
-    /// Start of the fault.
+    /// Start of the fault, in seconds from the start of the load.
     pub at_s: f64,
-    /// End of the fault; equal to the start for a fault without a duration.
+    /// End of the fault, in seconds from the start of the load; equal to `at_s` if the fault has no duration.
     pub ends_s: f64,
 }
 
@@ -47,6 +47,7 @@
     deadline_steps: usize,
 }
 
+/// Counts of the calls that arrive in one tenth of a second.
 #[derive(Debug, Clone, Copy, Default)]
 struct Step {
     calls: u64,
@@ -71,7 +72,7 @@
         step.served += u64::from(served);
     }
 
-    /// Effect of a fault on the share.
+    /// Effect of a fault on the share of calls served.
     #[must_use]
     pub fn recovery(&self, fault: FaultPeriod) -> Recovery {
         let steps_before = step_index(fault.at_s).saturating_sub(self.deadline_steps).max(STEPS_PER_S);
--- a/scale/src/run.rs
+++ b/scale/src/run.rs
@@ -67,9 +67,9 @@
     /// Not all balancers became ready and received their list in time.
     #[error("only {ready} of {total} balancers were ready and had received their list within {within_s} s")]
     NotReady {
-        /// Balancers that were ready.
+        /// Number of balancers that were ready.
         ready: usize,
-        /// All balancers.
+        /// Number of all balancers.
         total: usize,
         /// Time limit in seconds.
         within_s: f64,
@@ -227,7 +227,7 @@
     }
 }
 
-/// Traffic between two readings of the counters.
+/// Traffic between a balancer and the control plane between two readings of its counters.
 fn usage_between(before: &ControlUsage, after: &ControlUsage) -> ControlUsage {
     ControlUsage {
         bytes: after.bytes - before.bytes,
--- a/scale/src/run/fleet.rs
+++ b/scale/src/run/fleet.rs
@@ -26,23 +26,23 @@
 /// A real balancer. Its process is locked while a fault of the scenario kills and restarts it.
 #[derive(Debug, Clone)]
 pub struct Balancer {
-    /// Index in the topology.
+    /// Index of the balancer in the topology.
     pub id: BalancerId,
-    /// Address on which it listens.
+    /// Address on which the balancer listens.
     pub address: SocketAddr,
-    /// Process of the balancer.
+    /// Process of the balancer, locked by whoever checks, kills or restarts it.
     pub process: Arc<Mutex<BalancerProcess>>,
 }
 
 /// All parts of a running fleet.
 pub struct Fleet {
-    /// The control plane.
+    /// The stand-in control plane, which sends endpoint lists to all balancers.
     pub control: Arc<ControlPlane>,
     /// Stand-in nodes with sockets.
     pub nodes: Arc<NodeServers>,
     /// Real balancers, in the order of the topology.
     pub balancers: Vec<Balancer>,
-    /// Hollow balancers, if there are any.
+    /// Hollow balancers (simulated in this process), if there are any.
     pub hollow: Option<HollowFleet>,
     /// Endpoint lists that the control plane serves.
     pub lists: EndpointLists,
@@ -139,7 +139,7 @@
         nodes.iter().map(|node| self.nodes.address(*node)).collect()
     }
 
-    /// Whether a node has sockets.
+    /// Whether a node is a real one with sockets, not a modelled one.
     pub fn is_real(&self, node: NodeId) -> bool {
         is_real(&self.topology, node)
     }
--- a/scale/src/run/lists.rs
+++ b/scale/src/run/lists.rs
@@ -11,7 +11,7 @@
 use crate::record::Record;
 use crate::topology::{NodeId, ServiceId, Topology, ZoneId};
 
-/// Machine kind in every entry.
+/// Machine kind in every list entry; all nodes are on machines of one kind.
 const MACHINE_KIND: &str = "std";
 const READY: &str = "ready";
 const DRAINING: &str = "draining";
@@ -20,7 +20,7 @@
 const MODELLED_NODE_NET: u8 = 10;
 /// First byte of the made-up addresses of padding entries, to which nothing connects.
 const PADDING_NET: u8 = 11;
-/// Port of the made-up addresses.
+/// Port of the made-up addresses of modelled nodes and padding entries.
 const UNUSED_PORT: u16 = 1;
 
 /// Current list entries of all nodes, and the control plane to which changes are published.
--- a/scale/src/run/settings.rs
+++ b/scale/src/run/settings.rs
@@ -19,7 +19,7 @@
 
 /// Time between two calls that check whether new settings are in force.
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
-/// Time limit of such a call.
+/// Time limit of a call that checks whether new settings are in force.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(1);
 /// Start of the response to a call whose class is in force.
 const OK_STATUS_LINE: &[u8] = b"HTTP/1.1 200";
--- a/scale/src/run/watch.rs
+++ b/scale/src/run/watch.rs
@@ -10,7 +10,7 @@
 use crate::process::Sampler;
 use crate::record::Record;
 
-/// Time between two checks whether the processes still run.
+/// Time between two checks whether the real balancers' processes still run.
 const EXIT_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 /// Checks per sample of the processes' resource usage, which makes one sample per second.
 const CHECKS_PER_SAMPLE: u32 = 10;
--- a/scale/src/scenario.rs
+++ b/scale/src/scenario.rs
@@ -48,7 +48,7 @@
 pub struct Fleet {
     /// Services of the hollow balancers; each calls the next one, the last calls the first.
     pub services: u32,
-    /// Hollow balancers, each on a modelled node of its own.
+    /// Number of hollow balancers (simulated in this process), each on a modelled node of its own.
     pub hollow: u32,
     /// Real balancer processes, each in front of its own service, whose nodes call through the next real balancer.
     pub real: u32,
@@ -125,9 +125,10 @@
     pub cold_s: f64,
     /// Fraction of its full speed with which a restarted node begins.
     pub cold_share: f64,
-    /// A cold node goes down when it gets more than this many times the requests that it can handle at that moment...
+    /// A cold node goes down when, for `fall_s` seconds, it gets more than this many times the requests that
+    /// it can handle at that moment.
     pub fall_multiple: f64,
-    /// ...for this many seconds.
+    /// Seconds for which a cold node must be overloaded by `fall_multiple` before it goes down.
     pub fall_s: f64,
     /// Processing time of a new connection, in milliseconds.
     pub connect_ms: f64,
@@ -171,16 +172,16 @@
     pub settings_kind: SettingsChange,
 }
 
-/// What new settings change.
+/// What the new settings that balancers get during the load change.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum SettingsChange {
-    /// They add a class of requests.
+    /// The new settings add a class of requests.
     #[default]
     AddClass,
-    /// They change the count of balancers that send to each service.
+    /// The new settings change the count of balancers that send to each service.
     Copies,
-    /// They do not parse; the old settings must stay in force.
+    /// The new settings do not parse; the old settings must stay in force.
     Malformed,
 }
 
--- a/scale/src/scenario/check.rs
+++ b/scale/src/scenario/check.rs
@@ -7,7 +7,7 @@
 
 /// Maximum duration of a run, in seconds.
 const MAX_DURATION_S: f64 = 3600.0;
-/// Maximum of any other time, in seconds.
+/// Maximum of any time in a scenario except the duration of the run, in seconds.
 const MAX_TIME_S: f64 = 600.0;
 /// Minimum of a time that must not be 0, in seconds (in milliseconds for `node.work_ms`).
 const MIN_TIME_S: f64 = 0.001;
@@ -15,13 +15,13 @@
 const MAX_WORK_MS: f64 = 10_000.0;
 /// Maximum calls per second.
 const MAX_RATE_PER_S: f64 = 1_000_000.0;
-/// Maximum depth of calls.
+/// Maximum number of hops of a call.
 const MAX_HOPS: u32 = 64;
 /// Maximum number of hollow balancers.
 const MAX_HOLLOW: u32 = 10_000;
 /// Maximum number of real balancers; keeps them, the tool and what starts it under 200 processes.
 const MAX_REAL: u32 = 190;
-/// Minimum hollow balancers per service.
+/// Minimum number of hollow (simulated) balancers per service.
 const MIN_HOLLOW_PER_SERVICE: u32 = 2;
 /// Minimum descriptor limit with which a balancer starts.
 const MIN_SOCKETS: u32 = 48;
--- a/scale/src/scenario/overrides.rs
+++ b/scale/src/scenario/overrides.rs
@@ -9,7 +9,7 @@
 pub struct Override {
     /// Names of keys and indexes of array entries, outermost first.
     path: Vec<String>,
-    /// Value to set.
+    /// Value that replaces the one in the scenario file.
     value: Value,
 }
 
--- a/scale/src/slopes.rs
+++ b/scale/src/slopes.rs
@@ -34,7 +34,7 @@
 pub struct Slope {
     /// Kind of the slope.
     pub name: SlopeKind,
-    /// Unit of its sizes.
+    /// What is varied, such as balancers or hops.
     pub sizes: Axis,
     /// Seconds that the measurement took.
     pub took_s: f64,
--- a/scale/src/slopes/kinds.rs
+++ b/scale/src/slopes/kinds.rs
@@ -29,9 +29,9 @@
 /// Unit of the sizes of a slope.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 pub struct Axis {
-    /// Plural name.
+    /// Plural name of the varied quantity, such as "hops".
     pub name: &'static str,
-    /// Singular name.
+    /// Singular name of the varied quantity, such as "hop".
     #[serde(rename = "one")]
     pub singular: &'static str,
 }
@@ -47,7 +47,7 @@
 /// The scenario of a slope at one size.
 #[derive(Debug, Clone)]
 pub struct SizedScenario {
-    /// Size at which it measures.
+    /// Value of the varied quantity in this scenario.
     pub size: f64,
     /// Scenario to run.
     pub scenario: Scenario,
@@ -80,7 +80,7 @@
 const DEPTH_SCENARIO: &str = include_str!("depth.toml");
 
 impl SlopeKind {
-    /// Name on the command line and in reports.
+    /// Name of the slope on the command line and in reports.
     #[must_use]
     pub fn name(self) -> &'static str {
         match self {
@@ -92,7 +92,7 @@
         }
     }
 
-    /// Unit of its sizes.
+    /// What the slope varies, with its plural and singular name.
     pub(super) fn axis(self) -> Axis {
         match self {
             Self::Copies => Axis { name: "copies", singular: "copy" },
@@ -103,7 +103,7 @@
         }
     }
 
-    /// Its scenarios, one for each size; the slope over depths measures all of them in one run.
+    /// Scenarios of the slope, one for each size; the slope over depths measures all of its sizes in one run.
     ///
     /// # Errors
     /// A scenario is invalid or needs more than this machine allows.
--- a/scale/tests/cli.rs
+++ b/scale/tests/cli.rs
@@ -15,6 +15,7 @@
     String::from_utf8_lossy(&output.stderr).into_owned()
 }
 
+/// An inconsistent definition of the arguments makes clap panic when help is printed.
 #[test]
 fn help_and_version_are_printed_for_each_command() {
     let cases: [&[&str]; 5] =
@@ -26,6 +27,7 @@
     }
 }
 
+/// Invalid input must be told apart from a partial run, which exits with 1, and must name the faulty key.
 #[test]
 fn an_invalid_scenario_or_argument_exits_with_2() {
     let quick = quick_scenario();
@@ -49,6 +51,7 @@
     }
 }
 
+/// A log processor cannot read the logs if a line, such as an error, is plain text.
 #[test]
 fn logs_are_json_lines_if_requested() {
     let output = run_tool(&["check", &quick_scenario(), "--log-format", "json", "--set", "duration_s=0"]);
@@ -59,6 +62,7 @@
     }
 }
 
+/// The smallest descriptor limit that a balancer starts with must not be rejected.
 #[test]
 fn check_exits_with_0_for_a_valid_scenario() {
     let output = run_tool(&["check", &quick_scenario(), "--set", "fleet.sockets=48"]);
--- a/scale/tests/fit.rs
+++ b/scale/tests/fit.rs
@@ -10,6 +10,7 @@
     assert!((value - expected).abs() < 1e-9, "{value} is not {expected}");
 }
 
+/// Points on a line must give its slope and intercept, without residuals.
 #[test]
 fn an_exact_line_is_recovered() {
     let fit = Fit::of(&points(&[(1.0, 5.0), (2.0, 7.0), (4.0, 11.0), (10.0, 23.0)])).expect("a line");
@@ -19,6 +20,7 @@
     assert_near(fit.residual_relative.expect("no point is 0"), 0.0);
 }
 
+/// The residuals tell how far a slope can be trusted; a relative one must not divide by a value of 0.
 #[test]
 fn residuals_are_the_distances_of_points_from_the_line() {
     // The line is y = 2; each point is at a distance of 1.
@@ -31,6 +33,7 @@
     assert_eq!(with_zero.residual_relative, None);
 }
 
+/// Points that do not determine a line must give none, not a slope that is infinite or NaN.
 #[test]
 fn a_single_size_or_a_nan_gives_no_line() {
     assert_eq!(Fit::of(&points(&[])), None);
--- a/scale/tests/plan.rs
+++ b/scale/tests/plan.rs
@@ -41,6 +41,7 @@
 
 const ONE_SECOND: Duration = Duration::from_secs(1);
 
+/// Runs can only be compared if a seed always gives the same faults and list changes.
 #[test]
 fn a_plan_depends_on_the_seed_alone() {
     let faults = "fault=[{ kind = 'machine-lost', at_s = 3, for_s = 5, count = 4 }, { kind = 'restart', at_s = 9, count = 3 }]";
@@ -51,6 +52,7 @@
     assert!(plan.steps.is_sorted_by_key(|step| step.offset));
 }
 
+/// A node must not stop while it is listed, and two nodes must not restart at the same time.
 #[test]
 fn a_restart_drains_removes_stops_and_readies_a_node_before_the_next_one() {
     let (plan, _) = draw(&["fault=[{ kind = 'restart', at_s = 3, count = 2 }]"]);
@@ -72,6 +74,7 @@
     assert!(plan.faults[0].ends_s >= plan.steps[9].offset.as_secs_f64());
 }
 
+/// Balancers must get the chance to send to a lost machine before the control plane removes it.
 #[test]
 fn control_removes_a_lost_machine_late_and_lists_it_when_it_is_back() {
     let (plan, _) = draw(&["fault=[{ kind = 'machine-lost', at_s = 3, for_s = 6, count = 5 }]"]);
@@ -87,6 +90,7 @@
     assert!(ready.len() == 5 && ready.iter().all(|at| *at > 9 * ONE_SECOND), "{ready:?}");
 }
 
+/// A lost machine without a duration (`for_s`) must not be listed or answer again.
 #[test]
 fn a_machine_that_does_not_come_back_stays_off_the_list() {
     let (plan, _) = draw(&["fault=[{ kind = 'machine-lost', at_s = 3 }]"]);
@@ -97,6 +101,7 @@
     assert_eq!((plan.faults[0].at_s, plan.faults[0].ends_s), (3.0, 3.0));
 }
 
+/// The loss of a zone or rack must affect the right nodes, and none outside the zone.
 #[test]
 fn zone_loss_silences_the_whole_zone_and_rack_loss_a_tenth() {
     let (plan, topology) = draw(&["fault=[{ kind = 'zone-lost', at_s = 3, for_s = 6, place = 2 }]"]);
@@ -109,6 +114,7 @@
     assert!(rack.iter().all(in_zone));
 }
 
+/// A release must restart its share of every service, and must not last longer than its duration.
 #[test]
 fn a_release_restarts_its_share_of_each_service_in_its_duration() {
     let (plan, topology) = draw(&["fault=[{ kind = 'release', at_s = 3, for_s = 20, count = 50 }]"]);
@@ -122,6 +128,7 @@
     assert!(plan.steps.iter().all(|step| step.offset >= 3 * ONE_SECOND && step.offset <= 23 * ONE_SECOND));
 }
 
+/// A balancer must still reach the nodes of its own region, and all nodes after the cut.
 #[test]
 fn a_region_cut_silences_only_nodes_on_the_other_side_until_its_end() {
     let (plan, topology) = draw(&["fault=[{ kind = 'region-cut', at_s = 3, for_s = 6, place = 1 }]"]);
@@ -139,6 +146,7 @@
     assert_eq!(step_times(&plan, |action| matches!(action, Action::Silence(_, false))), [9 * ONE_SECOND; 4]);
 }
 
+/// A fault must affect what the scenario names, at its times, and nothing else.
 #[test]
 fn faults_of_replicas_watches_and_balancers_give_their_actions() {
     let (plan, _) = draw(&["fault=[{ kind = 'control-lost', at_s = 3, for_s = 6, place = 1, count = 2 }]"]);
@@ -157,6 +165,7 @@
     }
 }
 
+/// A wrong rate of list changes would make the measured cost of changes wrong.
 #[test]
 fn list_changes_follow_their_rate_and_settings_their_times() {
     let (plan, _) =
--- a/scale/tests/quick.rs
+++ b/scale/tests/quick.rs
@@ -24,6 +24,7 @@
     load(&file, &overrides.map(str::to_owned)).expect("a scenario")
 }
 
+/// Calls must not get lost or be counted twice, and fleet, faults and report must work together.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_quick_run_completes_without_lost_calls() {
     let program = find_balancer_program().expect("the balancer is built along with the workspace");
--- a/scale/tests/report.rs
+++ b/scale/tests/report.rs
@@ -62,6 +62,7 @@
     serde_json::to_value(report).expect("a report is JSON")
 }
 
+/// A call that is counted under a wrong outcome, balancer kind, depth or second would distort the report.
 #[test]
 fn calls_are_counted_by_outcome_balancer_kind_depth_and_second() {
     let (scenario, start, record) = (scenario(&[]), Instant::now(), Record::default());
@@ -91,6 +92,7 @@
     assert_eq!(report["series"]["failed"], json!([0, 0, 2, 0, 0, 0, 0, 0, 0, 0]));
 }
 
+/// The added latency must not include the latency of the node, and must be missing without calls.
 #[test]
 fn added_latency_is_the_difference_of_the_same_percentiles() {
     let (scenario, start, record) = (scenario(&[]), Instant::now(), Record::default());
@@ -107,6 +109,7 @@
     assert_eq!(nothing["added_latency_us"], Value::Null);
 }
 
+/// Retries that multiply with the depth of calls must show in the report.
 #[test]
 fn attempts_are_reported_by_hop_and_from_first_to_deepest() {
     let (scenario, start, record) = (scenario(&[]), Instant::now(), Record::default());
@@ -127,6 +130,7 @@
     ProcessUsage { core_percent, memory_mb, descriptors: 20, wakeups_per_s: 5.0 }
 }
 
+/// The maximum over balancers must not be that of single samples, and idle cost must exclude runs with calls.
 #[test]
 fn process_and_control_usage_is_reported_by_balancer() {
     let (start, record) = (Instant::now(), Record::default());
@@ -152,6 +156,7 @@
     assert_eq!(report["balancer_core_percent"], json!({"mean": 4.0, "max": 6.0}));
 }
 
+/// Balancers that never got new settings must not vanish from the measured delays.
 #[test]
 fn delays_are_reported_in_seconds_with_the_balancers_that_missed_them() {
     let (scenario, start, record) = (scenario(&[]), Instant::now(), Record::default());
@@ -187,6 +192,7 @@
     FaultPeriod { kind: FaultKind::MachineLost, at_s, ends_s }
 }
 
+/// The recovery time must be counted from the end of the fault, not from its start.
 #[test]
 fn recovery_lasts_from_the_end_of_a_fault_until_the_served_share_stays_up() {
     let recovery = dipped_share(3.0, 5.0, 0.5).recovery(fault(3.0, 4.0));
@@ -196,6 +202,7 @@
     assert!((1.8..=2.1).contains(&recovery_s), "the second after 5.0 s has no more failures: {recovery_s}");
 }
 
+/// Calls that a fault interrupts would lower the share that recovery is compared with.
 #[test]
 fn calls_in_flight_when_a_fault_begins_are_not_part_of_the_share_before_it() {
     // Calls that arrive in the second before the fault are affected by it because they take up to a second.
@@ -205,11 +212,13 @@
     assert!((1.8..=2.1).contains(&recovery_s), "{recovery_s}");
 }
 
+/// A fault that calls do not notice must not be reported as not recovered.
 #[test]
 fn a_fault_without_effect_has_a_recovery_time_of_zero() {
     assert_eq!(dipped_share(0.0, 0.0, 1.0).recovery(fault(3.0, 4.0)).recovery_s, Some(0.0));
 }
 
+/// A short rise of the share, or too little data to tell, must not be reported as a recovery.
 #[test]
 fn a_served_share_that_drops_again_is_no_recovery() {
     assert_eq!(dipped_share(3.0, 8.5, 0.5).recovery(fault(3.0, 4.0)).recovery_s, None);
@@ -221,6 +230,7 @@
     assert_eq!(ServedShare::new(10.0, 1.0).recovery(fault(3.0, 4.0)).recovery_s, None, "there were no calls");
 }
 
+/// The figures of a run that ended early must not pass for those of a complete run.
 #[test]
 fn a_run_that_ended_early_is_reported_as_partial() {
     let (scenario, record) = (scenario(&[]), Record::default());
@@ -238,6 +248,7 @@
     assert!(table::report_table(&report).to_string().contains("partial: real-0 ended: signal 9"));
 }
 
+/// Headings must be above their columns, or a reader takes one number for another.
 #[test]
 fn the_table_is_aligned() {
     let (scenario, start, record) = (scenario(&[]), Instant::now(), Record::default());
--- a/scale/tests/scenario.rs
+++ b/scale/tests/scenario.rs
@@ -48,6 +48,7 @@
     entries.map(|entry| entry.expect("an entry").path()).collect()
 }
 
+/// A value that is accepted wrongly would fail or distort a run only after it has started.
 #[test]
 fn each_invalid_value_is_reported_with_file_key_and_reason() {
     let cases = [
@@ -105,6 +106,7 @@
     }
 }
 
+/// A misspelt key that is ignored would run another scenario than the one intended.
 #[test]
 fn unknown_keys_and_values_of_the_wrong_type_are_reported() {
     let cases = [
@@ -122,6 +124,7 @@
     }
 }
 
+/// Errors of syntax must name the file and the place, so that the user can fix them.
 #[test]
 fn text_that_is_not_a_scenario_is_reported_with_line_or_missing_key() {
     let cases = [
@@ -138,6 +141,7 @@
     assert!(error.starts_with("no/such.toml: cannot be read"), "{error}");
 }
 
+/// `--set` must reach every kind of value: numbers, text, lists, and entries of arrays.
 #[test]
 fn overrides_take_precedence_over_the_file() {
     let scenario = base_with(&[
@@ -157,6 +161,7 @@
     assert_eq!(scenario.changes.settings_at_s, [1.0, 2.5]);
 }
 
+/// A mistyped `--set` that is ignored would run the scenario without the change.
 #[test]
 fn overrides_with_an_invalid_path_are_reported() {
     let cases = [
@@ -174,6 +179,7 @@
     }
 }
 
+/// A value with a line break must not be parsed as further lines of TOML.
 #[test]
 fn an_override_value_cannot_set_a_second_key() {
     let scenario = base_with(&["name=\"a\"\nduration_s = 5"]).expect("a scenario");
@@ -181,6 +187,7 @@
     assert_eq!(scenario.name, "\"a\"\nduration_s = 5");
 }
 
+/// A run must not exhaust the memory or descriptors of the machine.
 #[test]
 fn needs_above_the_limits_of_the_machine_are_reported() {
     let scenario =
@@ -197,12 +204,14 @@
     assert!(error.starts_with(&format!("{FILE}: fleet.sockets: needs ")), "{error}");
 }
 
+/// The parser of `/proc` must match the format of the kernel.
 #[test]
 fn the_limits_of_this_machine_are_readable() {
     let machine = Machine::detect().expect("limits in /proc");
     assert!(machine.memory_mb > 0 && machine.descriptors > 0);
 }
 
+/// A shipped scenario must not become invalid when keys or limits change.
 #[test]
 fn every_shipped_scenario_is_valid() {
     let files = shipped_scenarios();
