--- a/scale/src/hollow/balancer.rs
+++ b/scale/src/hollow/balancer.rs
@@ -146,7 +146,8 @@
 
     /// The attempts that wait for a connection to an upstream.
     pub fn connecting_to(&self, upstream: UpstreamId) -> Vec<AttemptId> {
-        let to = self.connecting.iter().filter(|connecting| connecting.upstream == upstream);
-        to.map(|connecting| connecting.attempt).collect()
+        let attempts_to_upstream =
+            self.connecting.iter().filter(|connecting| connecting.upstream == upstream);
+        attempts_to_upstream.map(|connecting| connecting.attempt).collect()
     }
 }
--- a/scale/src/hollow/host/attempts.rs
+++ b/scale/src/hollow/host/attempts.rs
@@ -225,7 +225,8 @@
     /// Cancels the attempts of a request that still wait for a connection.
     pub(super) fn cancel_unsent_attempts(&mut self, request: RequestId) {
         let Some(open_request) = self.requests.get(&request) else { return };
-        let is_unsent = |attempt: &Option<Attempt>| attempt.as_ref().is_some_and(|it| it.sent_at.is_none());
+        let is_unsent =
+            |attempt: &Option<Attempt>| attempt.as_ref().is_some_and(|attempt| attempt.sent_at.is_none());
         let numbers: Vec<AttemptNumber> = (0..)
             .zip(&open_request.attempts)
             .filter(|(_, attempt)| is_unsent(attempt))
--- a/scale/src/hollow/host/clients.rs
+++ b/scale/src/hollow/host/clients.rs
@@ -100,7 +100,7 @@
         let now = self.now;
         let Some(call) = self.calls.get_mut(&id) else { return };
         call.request = None;
-        let end = match answer {
+        let outcome = match answer {
             _ if now > call.deadline => CallOutcome::Failed,
             Answer::Served => CallOutcome::Served,
             Answer::Failed => CallOutcome::Failed,
@@ -113,7 +113,7 @@
                 CallOutcome::Refused
             }
         };
-        self.end_call(id, end);
+        self.end_call(id, outcome);
     }
 
     /// Handles a client that closes its connection before the answer.
--- a/scale/src/hollow/tests.rs
+++ b/scale/src/hollow/tests.rs
@@ -130,8 +130,8 @@
 }
 
 fn draw_arrivals(scenario: &Scenario, seed: u64) -> Vec<Arrival> {
-    let time = Duration::from_secs_f64(scenario.duration_s);
-    Arrivals::new(&scenario.load, scenario.fleet.hollow as usize, time, seed).collect()
+    let load_duration = Duration::from_secs_f64(scenario.duration_s);
+    Arrivals::new(&scenario.load, scenario.fleet.hollow as usize, load_duration, seed).collect()
 }
 
 /// Runs can only be compared if a seed always gives the same sequence of arrivals, ordered by time.
--- a/scale/src/report.rs
+++ b/scale/src/report.rs
@@ -253,10 +253,10 @@
     let ratio = |hop: &u32, calls: u64| attempts.get(hop).map(|attempts| *attempts as f64 / calls as f64);
     let by_hop = calls.iter().filter_map(|(hop, calls)| Some((*hop, ratio(hop, *calls)?))).collect();
     let calls_of_kind = || measured.calls.iter().filter(|call| call.balancer_kind == balancer_kind);
-    let deepest = calls_of_kind().map(|call| call.hops).max();
-    let deepest_over_first = deepest.and_then(|deepest| {
-        let first = calls_of_kind().filter(|call| call.hops == deepest).count();
-        ratio(&deepest, first as u64)
+    let max_hops = calls_of_kind().map(|call| call.hops).max();
+    let deepest_over_first = max_hops.and_then(|max_hops| {
+        let deepest_calls = calls_of_kind().filter(|call| call.hops == max_hops).count();
+        ratio(&max_hops, deepest_calls as u64)
     });
     AttemptsPerCall { by_hop, deepest_over_first }
 }
--- a/scale/src/report/recovery.rs
+++ b/scale/src/report/recovery.rs
@@ -42,14 +42,14 @@
 /// Calls by scheduled arrival, in steps of a tenth of a second from the start of the load.
 #[derive(Debug, Clone, Default)]
 pub struct ServedShare {
-    steps: Vec<Step>,
+    steps: Vec<StepCounts>,
     /// Steps after its arrival by which a call has ended.
     deadline_steps: usize,
 }
 
 /// Counts of the calls that arrive in one tenth of a second.
 #[derive(Debug, Clone, Copy, Default)]
-struct Step {
+struct StepCounts {
     calls: u64,
     served: u64,
 }
@@ -59,7 +59,7 @@
     #[must_use]
     pub fn new(duration_s: f64, deadline_s: f64) -> Self {
         Self {
-            steps: vec![Step::default(); step_index(duration_s).max(1)],
+            steps: vec![StepCounts::default(); step_index(duration_s).max(1)],
             deadline_steps: step_index(deadline_s),
         }
     }
@@ -105,9 +105,9 @@
 
     /// Share served in the second before the start of step `end`; `None` if it had no calls.
     fn share_in_second_before(&self, end: usize) -> Option<f64> {
-        let second = self.steps.get(end.saturating_sub(STEPS_PER_S)..end)?;
-        let calls: u64 = second.iter().map(|step| step.calls).sum();
-        let served: u64 = second.iter().map(|step| step.served).sum();
+        let steps_in_second = self.steps.get(end.saturating_sub(STEPS_PER_S)..end)?;
+        let calls: u64 = steps_in_second.iter().map(|step| step.calls).sum();
+        let served: u64 = steps_in_second.iter().map(|step| step.served).sum();
         (calls > 0).then(|| served as f64 / calls as f64)
     }
 }
--- a/scale/src/run/lists.rs
+++ b/scale/src/run/lists.rs
@@ -17,9 +17,9 @@
 const DRAINING: &str = "draining";
 const GONE: &str = "gone";
 /// First byte of the made-up addresses of modelled nodes, to which nothing connects.
-const MODELLED_NODE_NET: u8 = 10;
+const MODELLED_NODE_FIRST_BYTE: u8 = 10;
 /// First byte of the made-up addresses of padding entries, to which nothing connects.
-const PADDING_NET: u8 = 11;
+const PADDING_FIRST_BYTE: u8 = 11;
 /// Port of the made-up addresses of modelled nodes and padding entries.
 const UNUSED_PORT: u16 = 1;
 
@@ -42,7 +42,7 @@
         address: impl Fn(NodeId) -> Option<SocketAddr>,
     ) -> Self {
         let entry = |node| {
-            let address = address(node).unwrap_or_else(|| unused_address(MODELLED_NODE_NET, node.0));
+            let address = address(node).unwrap_or_else(|| unused_address(MODELLED_NODE_FIRST_BYTE, node.0));
             node_entry(topology, node, address)
         };
         let entries: Vec<Endpoint> = (0..topology.nodes.len()).map(|node| entry(NodeId(node))).collect();
@@ -128,7 +128,7 @@
 fn padding_entry(topology: &Topology, service: ServiceId, padding_number: u32, weight: f64) -> Endpoint {
     Endpoint {
         name: format!("p-{:03}-{padding_number:05}", service.0),
-        address: unused_address(PADDING_NET, padding_number as usize).to_string(),
+        address: unused_address(PADDING_FIRST_BYTE, padding_number as usize).to_string(),
         zone: topology.zone_name(ZoneId(padding_number % topology.zones)),
         kind: MACHINE_KIND.to_owned(),
         group: 0,
@@ -139,9 +139,9 @@
 }
 
 /// A made-up address on which nothing listens.
-fn unused_address(net: u8, number: usize) -> SocketAddr {
+fn unused_address(first_byte: u8, number: usize) -> SocketAddr {
     let [_, high, middle, low] = (number as u32).to_be_bytes();
-    (Ipv4Addr::new(net, high, middle, low), UNUSED_PORT).into()
+    (Ipv4Addr::new(first_byte, high, middle, low), UNUSED_PORT).into()
 }
 
 fn unix_ms() -> u64 {
--- a/scale/src/scenario/check.rs
+++ b/scale/src/scenario/check.rs
@@ -17,10 +17,10 @@
 const MAX_RATE_PER_S: f64 = 1_000_000.0;
 /// Maximum number of hops of a call.
 const MAX_HOPS: u32 = 64;
-/// Maximum number of hollow balancers.
-const MAX_HOLLOW: u32 = 10_000;
+/// Maximum number of hollow (simulated) balancers, and of their services.
+const MAX_HOLLOW_BALANCERS: u32 = 10_000;
 /// Maximum number of real balancers; keeps them, the tool and what starts it under 200 processes.
-const MAX_REAL: u32 = 190;
+const MAX_REAL_BALANCERS: u32 = 190;
 /// Minimum number of hollow (simulated) balancers per service.
 const MIN_HOLLOW_PER_SERVICE: u32 = 2;
 /// Minimum descriptor limit with which a balancer starts.
@@ -53,9 +53,9 @@
 
 impl Fleet {
     fn check(&self) -> Result<(), KeyError> {
-        check_count("fleet.services", self.services, 0, MAX_HOLLOW)?;
-        check_count("fleet.hollow", self.hollow, 0, MAX_HOLLOW)?;
-        check_count("fleet.real", self.real, 0, MAX_REAL)?;
+        check_count("fleet.services", self.services, 0, MAX_HOLLOW_BALANCERS)?;
+        check_count("fleet.hollow", self.hollow, 0, MAX_HOLLOW_BALANCERS)?;
+        check_count("fleet.real", self.real, 0, MAX_REAL_BALANCERS)?;
         check_count("fleet.nodes_per_real", self.nodes_per_real, 1, 256)?;
         check_count("fleet.regions", self.regions, 1, 16)?;
         check_count("fleet.zones", self.zones, self.regions, 64)?;
--- a/scale/src/scenario/machine.rs
+++ b/scale/src/scenario/machine.rs
@@ -9,15 +9,15 @@
 use super::load::{KeyError, Reason};
 
 /// Memory of a hollow balancer with its modelled node, in megabytes; a generous estimate.
-const MB_PER_HOLLOW: u64 = 1;
+const MEMORY_MB_PER_HOLLOW_BALANCER: u64 = 1;
 /// Memory of the tool itself, in megabytes.
-const TOOL_MB: u64 = 100;
+const TOOL_MEMORY_MB: u64 = 100;
 /// Descriptors of a hollow balancer: its listener in the control plane and both ends of its watch.
-const DESCRIPTORS_PER_HOLLOW: u64 = 3;
+const DESCRIPTORS_PER_HOLLOW_BALANCER: u64 = 3;
 /// Descriptors of the tool itself, for log, report, pipes and timers.
 const TOOL_DESCRIPTORS: u64 = 100;
 /// Descriptors of the control plane for a real balancer: a listener and a watch.
-const DESCRIPTORS_PER_REAL: u64 = 2;
+const DESCRIPTORS_PER_REAL_BALANCER: u64 = 2;
 
 /// Limits of a machine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -69,12 +69,13 @@
     pub fn check(&self, scenario: &Scenario) -> Result<(), KeyError> {
         let fleet = &scenario.fleet;
         let (hollow, real) = (u64::from(fleet.hollow), u64::from(fleet.real));
-        let memory_mb = real * u64::from(fleet.memory_mb) + hollow * MB_PER_HOLLOW + TOOL_MB;
+        let memory_mb =
+            real * u64::from(fleet.memory_mb) + hollow * MEMORY_MB_PER_HOLLOW_BALANCER + TOOL_MEMORY_MB;
         check_limit("fleet.memory_mb", memory_mb, self.memory_mb / 2, "MB of memory")?;
         let nodes = real * u64::from(fleet.nodes_per_real);
-        let descriptors = real * (u64::from(fleet.sockets) + DESCRIPTORS_PER_REAL)
+        let descriptors = real * (u64::from(fleet.sockets) + DESCRIPTORS_PER_REAL_BALANCER)
             + nodes
-            + hollow * DESCRIPTORS_PER_HOLLOW
+            + hollow * DESCRIPTORS_PER_HOLLOW_BALANCER
             + TOOL_DESCRIPTORS;
         check_limit("fleet.sockets", descriptors, self.descriptors, "descriptors")
     }
