--- a/scale/src/hollow/calls.rs
+++ b/scale/src/hollow/calls.rs
@@ -153,7 +153,7 @@
     pub spec: RequestSpec,
     /// When the attempt's caller stops waiting.
     pub deadline: Duration,
-    /// How the work ends; only used at the last hop.
+    /// How the node's work ends: served, error or reset; only used at the last hop.
     pub outcome: WorkOutcome,
     /// The request to the next service whose answer the node waits for.
     pub downstream: Option<RequestId>,
--- a/scale/src/run/settings.rs
+++ b/scale/src/run/settings.rs
@@ -37,7 +37,7 @@
 }
 
 impl<'a> SettingsRollout<'a> {
-    /// Rollout of a scenario's settings; what is not in force at `deadline` counts as missed.
+    /// Rollout of a scenario's settings; settings not in force at `deadline` count as missed.
     pub fn new(
         scenario: &'a Scenario,
         topology: &'a Topology,
--- a/scale/src/scenario/load.rs
+++ b/scale/src/scenario/load.rs
@@ -49,7 +49,7 @@
 pub struct KeyError {
     /// Dotted path of the key.
     pub key: String,
-    /// Cause of the error.
+    /// What is wrong with the key or its value.
     pub reason: Reason,
 }
 
@@ -84,7 +84,7 @@
     /// A number that is too small or too large.
     #[error("is {value}, but must be from {min} to {max}")]
     OutOfRange {
-        /// Value of the key.
+        /// Value that is out of range.
         value: f64,
         /// Smallest allowed value.
         min: f64,
@@ -102,7 +102,7 @@
     TooFew {
         /// Plural name of the things, for the message.
         what: &'static str,
-        /// How many there are.
+        /// Number of existing things, which limits the reference.
         count: u64,
     },
     /// Another invalid value, often one that conflicts with another key.
--- a/scale/src/scenario/machine.rs
+++ b/scale/src/scenario/machine.rs
@@ -34,7 +34,7 @@
     /// A file in `/proc` cannot be read.
     #[error("cannot read {path}: {cause}")]
     Read {
-        /// Path of the file.
+        /// Path of the file in `/proc`.
         path: &'static str,
         /// Cause of the error.
         cause: io::Error,
@@ -42,7 +42,7 @@
     /// A file in `/proc` lacks the expected line or number.
     #[error("{path} has no line with {line_start:?} and a number")]
     NumberNotFound {
-        /// Path of the file.
+        /// Path of the file in `/proc`.
         path: &'static str,
         /// Start of the line.
         line_start: &'static str,
