--- a/proxy/src/driver.rs
+++ b/proxy/src/driver.rs
@@ -559,7 +559,7 @@
     fn report(&self, core: &Core, report: Report) {
         let name = |upstream| core.directory.name(upstream).unwrap_or("unlisted");
         match report {
-            Report::RequestUnserved { request, reason } => {
+            Report::RequestEnded { request, reason } => {
                 self.metrics.request_unserved(reason.into());
                 let Some(pending) = core.requests.get(&request) else { return };
                 let last_attempt = match reason {
@@ -568,11 +568,11 @@
                 };
                 tracing::debug!(id = %pending.client_id(), ?reason, ?last_attempt, "request ended unserved");
             }
-            Report::ListTrustChanged(level) => {
+            Report::ListTrust(level) => {
                 self.metrics.list_trust_changed(level);
                 tracing::info!(?level, "trust in the list of upstreams changed");
             }
-            Report::Ejected { upstream, duration } => {
+            Report::Ejected { upstream, span: duration } => {
                 self.metrics.ejected();
                 tracing::debug!(
                     upstream = name(upstream),
--- a/src/decide.rs
+++ b/src/decide.rs
@@ -1367,7 +1367,7 @@
         let latency_target = self.settings.classes[pending.class.0].latency_target;
         let retry_after = self.settings.capabilities.max_retry_after.map(|max| max.min(latency_target));
         let refusal = Action::Refuse { request: id, retry_after };
-        actions.push(Action::Report(Report::RequestUnserved { request: id, reason }));
+        actions.push(Action::Report(Report::RequestEnded { request: id, reason }));
         actions.push(if safe_to_retry { refusal } else { Action::Fail { request: id } });
         self.close_request(id, actions);
     }
@@ -1521,7 +1521,9 @@
         if failed {
             let ejection = self.eject_if_failing(now_s, slot, unreachable);
             let upstream = self.upstreams[slot].member.id;
-            actions.extend(ejection.map(|duration| Action::Report(Report::Ejected { upstream, duration })));
+            actions.extend(
+                ejection.map(|duration| Action::Report(Report::Ejected { upstream, span: duration })),
+            );
         }
     }
 
@@ -1619,7 +1621,7 @@
     /// allows to send to.
     fn check_list_trust(&mut self, now_s: f64, actions: &mut Vec<Action>) {
         if let Some(level) = self.list_trust.level_changed(now_s) {
-            actions.push(Action::Report(Report::ListTrustChanged(level)));
+            actions.push(Action::Report(Report::ListTrust(level)));
         }
         let untrusted_in_flight = |upstream: &&Upstream| {
             upstream.in_flight > 0
--- a/src/report.rs
+++ b/src/report.rs
@@ -33,19 +33,19 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Report {
     /// A request is about to be refused or failed.
-    RequestUnserved {
+    RequestEnded {
         /// The request that ends unserved.
         request: RequestId,
         /// Why it ends unserved.
         reason: UnservedReason,
     },
     /// The trust in the list of upstreams has changed to this level.
-    ListTrustChanged(TrustLevel),
+    ListTrust(TrustLevel),
     /// A failing upstream is excluded from selection for a while.
     Ejected {
         /// The upstream that is ejected.
         upstream: UpstreamId,
         /// How long it is ejected for.
-        duration: Duration,
+        span: Duration,
     },
 }
